--- a/src/cartspring/attempts.h
+++ b/src/cartspring/attempts.h
@@ -1,8 +1,8 @@
-// The attempt plan: which attempts and answers of a request are legal, how many there are, when one is cut.
+// Attempt rules: which attempts and final answers of a request are legal, how many, and when one is cut off.
 //
 // Invariants. Nothing new goes to a draining or gone host. What may have run is run again only if it is safe,
-// or keyed and within its group and window. A refusal promises that a retry does no harm. Further attempts of
-// what may have run are earned, which bounds retry storms.
+// or keyed and within its group and window. A refusal guarantees that a retry is harmless. Further attempts
+// of what may have run are earned, which bounds retry storms.
 #ifndef CARTSPRING_SRC_CARTSPRING_ATTEMPTS_H_
 #define CARTSPRING_SRC_CARTSPRING_ATTEMPTS_H_
 
@@ -11,8 +11,8 @@
 namespace cartspring {
 
 constexpr double kRetryShare = 0.2;  // further attempts earned by each request
-constexpr double kRetrySaved = 5;    // most further attempts saved up
-constexpr double kCutAfter = 6;  // expected times after which a request that may run again is tried elsewhere
+constexpr double kRetrySaved = 5;    // most further attempts that can be saved up
+constexpr double kCutAfter = 6;      // expected times until a request that may run again is tried elsewhere
 
 inline bool ProvesNeverRan(Outcome outcome) {
   return outcome == Outcome::kRefusedByHost || outcome == Outcome::kConnectFailed ||
@@ -23,10 +23,10 @@
  public:
   Attempts(const Context& ctx, const HostTable& hosts) : ctx_(ctx), hosts_(hosts) {}
 
-  // The last time at which a batch can still bring the request's end.
+  // The last time at which a batch can still end the request in time.
   double LastCall(const Live& live) const { return live.end_at - ctx_.set.tick_ms; }
 
-  // By when a further attempt has to be out: from then on its repeat would not be dropped.
+  // The time by which a further attempt must be sent: later its repeat would no longer be deduplicated.
   double RepeatBy(const Live& live) const {
     const RequestClass& klass = ctx_.ClassOf(live.request);
     const auto ran = std::ranges::find_if(live.attempts, &Attempt::may_have_run);
@@ -58,7 +58,7 @@
     return !live.MayHaveRun();
   }
 
-  // A request that may run again is not left to wait for its host for all its time.
+  // When to cut the attempt off: a request that may run again does not spend all its time on one host.
   double AttemptEnd(const Live& live, double expected_ms) const {
     const double end = LastCall(live), cut = ctx_.now + kCutAfter * expected_ms;
     const bool again = ctx_.ClassOf(live.request).effect == Effect::kSafe &&
@@ -68,8 +68,8 @@
 
   void Earn() { tokens_ = std::min(kRetrySaved, tokens_ + kRetryShare); }
 
-  // After a failure: another attempt if it is legal, can still make it, and is earned. One that is known not
-  // to have run has cost its host nothing and needs no earning.
+  // After a failure: allows another attempt if it is legal, can still finish in time, and is earned. An
+  // attempt known not to have run has cost its host nothing and needs no earning.
   bool WorthAnother(const Live& live, Outcome outcome, double typical_ms) {
     if (live.Count() >= ctx_.set.max_attempts) return false;
     if (LastCall(live) - ctx_.now < typical_ms / 2) return false;
--- a/src/cartspring/balancer.cpp
+++ b/src/cartspring/balancer.cpp
@@ -1,4 +1,4 @@
-// The interface's methods, passed on to what decides (policy.h).
+// Forwards the methods of the public interface to the implementation (policy.h).
 #include "cartspring/balancer.h"
 
 #include <stdexcept>
@@ -7,7 +7,7 @@
 
 namespace cartspring {
 
-// One call at a time, whoever makes it.
+// Rejects calls that are made while another one is in progress.
 class Balancer::Entry {
  public:
   explicit Entry(bool& entered) : entered_(entered) {
--- a/src/cartspring/carry_over.h
+++ b/src/cartspring/carry_over.h
@@ -1,5 +1,4 @@
-// Rows by index that come as they are needed, and go on from others when their order changes. It decides
-// nothing.
+// Vectors indexed by class, zone or kind that grow on demand and follow a change of the index order.
 #ifndef CARTSPRING_SRC_CARTSPRING_CARRY_OVER_H_
 #define CARTSPRING_SRC_CARTSPRING_CARRY_OVER_H_
 
@@ -9,7 +8,7 @@
 
 namespace cartspring {
 
-// Makes row i what row `like[i]` was, or `fresh(i)` where that is none.
+// Row i becomes a copy of the former row `like[i]`, or `fresh(i)` where there is none.
 template <class Row, class Fresh>
 void CarryOver(std::vector<Row>& rows, const std::vector<int>& like, Fresh fresh) {
   std::vector<Row> out;
@@ -20,7 +19,7 @@
   rows = std::move(out);
 }
 
-// The row's figure, 0 where it never had one; and a place for it.
+// FigureAt: the row's value, 0 where none was set. PlaceAt: a reference to it; the vector grows as needed.
 inline double FigureAt(const std::vector<double>& rows, int row) {
   return static_cast<std::size_t>(row) < rows.size() ? rows[static_cast<std::size_t>(row)] : 0;
 }
--- a/src/cartspring/check.h
+++ b/src/cartspring/check.h
@@ -1,4 +1,4 @@
-// Bad use is answered with std::invalid_argument, as include/cartspring/balancer.h says.
+// Argument checks; a failed one throws std::invalid_argument, as include/cartspring/balancer.h specifies.
 #ifndef CARTSPRING_SRC_CARTSPRING_CHECK_H_
 #define CARTSPRING_SRC_CARTSPRING_CHECK_H_
 
@@ -6,8 +6,8 @@
 
 namespace cartspring {
 
-void Check(bool good, const char* message);    // throws with the message unless good
-void CheckSettings(const Settings& settings);  // throws at the first that makes no sense
+void Check(bool good, const char* message);    // throws with `message` unless `good`
+void CheckSettings(const Settings& settings);  // throws at the first invalid value
 
 }  // namespace cartspring
 
--- a/src/cartspring/context.h
+++ b/src/cartspring/context.h
@@ -1,5 +1,5 @@
-// What the steps of a decision share: the settings, the time of the event at hand and the seeded chance.
-// Nothing here decides. Only the event handlers (policy.h) move the time.
+// State shared by the steps of a decision: the settings, the time of the current event and the seeded random
+// generator. Contains no decisions. Only the event handlers (policy.h) advance the time.
 #ifndef CARTSPRING_SRC_CARTSPRING_CONTEXT_H_
 #define CARTSPRING_SRC_CARTSPRING_CONTEXT_H_
 
@@ -15,20 +15,22 @@
 
 namespace cartspring {
 
-constexpr double kSettled = 1e-6;  // ms, for comparing times
+constexpr double kSettled = 1e-6;  // tolerance for comparing times
 constexpr double kNever = std::numeric_limits<double>::infinity();
-// From more instances than this on, an instance's share of the requests that a host may hold is less than
-// one: counts bound nothing, and it sees little of any host.
+// With more instances than this, an instance's share of the requests that a host may hold is below one:
+// limits on counts have no effect, and the instance sees little of any host.
 constexpr int kSmallTier = 6;
 
-// Small, seeded and portable: splitmix64. Distributions of the standard library differ between runtimes.
+// splitmix64: small, seeded and portable. The standard library's distributions differ
+// between implementations.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
-  double Unit() { return static_cast<double>(Next() >> 11) * 0x1p-53; }  // from 0 to below 1
+  double Unit() { return static_cast<double>(Next() >> 11) * 0x1p-53; }  // in [0, 1)
   std::size_t Below(std::size_t n) { return static_cast<std::size_t>(Next() % n); }
 
-  // Moves `count` of `from`, or all if there are fewer, to its front and appends them to `out`.
+  // Draws `count` elements of `from` at random, or all if there are fewer: moves them to its front and
+  // appends them to `out`.
   void Draw(std::vector<int>& from, int count, std::vector<int>& out) {
     for (int k = 0; k < count && k < static_cast<int>(from.size()); ++k) {
       std::swap(from[k], from[k + Below(from.size() - k)]);
@@ -52,8 +54,8 @@
   double now = 0;  // ms
   Comeback comeback{set};
 
-  // Of the classes that requests come of.
-  int Hastiest() const {  // the one with the shortest aim, the first of those
+  // Retired classes are left out of the next two.
+  int Hastiest() const {  // the class with the shortest target latency, the first of equals
     int best = -1;
     for (std::size_t i = 0; i < set.classes.size(); ++i) {
       if (set.classes[i].retired) continue;
@@ -62,7 +64,7 @@
     }
     return std::max(0, best);
   }
-  double Patience() const {  // of the most patient one
+  double Patience() const {  // the longest deadline
     double longest = 0;
     for (const RequestClass& klass : set.classes) {
       if (!klass.retired) longest = std::max(longest, klass.deadline_ms);
--- a/src/cartspring/fading_line.h
+++ b/src/cartspring/fading_line.h
@@ -1,4 +1,4 @@
-// A straight line through points of which the older count less. Arithmetic alone: it decides nothing.
+// A least-squares line with exponential forgetting: older points count less.
 #ifndef CARTSPRING_SRC_CARTSPRING_FADING_LINE_H_
 #define CARTSPRING_SRC_CARTSPRING_FADING_LINE_H_
 
@@ -6,7 +6,7 @@
 
 class FadingLine {
  public:
-  // `fade`: what the sums keep of their past at each new point.
+  // `fade`: the factor applied to the sums at each new point.
   explicit FadingLine(double fade) : fade_(fade) {}
 
   void Add(double x, double y) {
@@ -17,10 +17,10 @@
     xx_ += x * x;
     xy_ += x * y;
   }
-  // Do the points lie far enough apart in x, against their mean, to tell a slope?
+  // Is the variance of x, relative to the squared mean, large enough to determine a slope?
   bool Sloped(double least) const { return Spread() >= least * x_ * x_; }
   double Slope() const { return (n_ * xy_ - x_ * y_) / Spread(); }
-  // How far left of 0 the line meets the axis; the slope must not be 0.
+  // The distance left of 0 at which the line meets the x axis; the slope must not be 0.
   double Offset() const { return (y_ / Slope() - x_) / n_; }
   double MeanX() const { return x_ / n_; }
 
--- a/src/cartspring/fields.h
+++ b/src/cartspring/fields.h
@@ -1,5 +1,5 @@
-// Named values, however they came: a line of the simulator's wire or a JSON object. Every reader of settings
-// and events goes through this, so that there is one list of names and one wording for what is wrong.
+// Named values from any source: a line of the simulator's protocol or a JSON object. All readers of settings
+// and events use this, so that there is one list of names and one wording of each error.
 #ifndef CARTSPRING_SRC_CARTSPRING_FIELDS_H_
 #define CARTSPRING_SRC_CARTSPRING_FIELDS_H_
 
@@ -44,7 +44,7 @@
   bool Flag(std::string_view field) const;  // absent: false
 
  protected:
-  // Told of what stands in for a field that is absent, so that a reader can say which values are defaults.
+  // Called with the default used for an absent field, so that a reader can report which values are defaults.
   virtual void StandIn(std::string_view /*field*/, std::string_view /*value*/) const {}
   virtual void StandIn(std::string_view /*field*/, double /*value*/) const {}
 };
--- a/src/cartspring/hosts.h
+++ b/src/cartspring/hosts.h
@@ -1,7 +1,7 @@
-// The host table: what the list says of each host, and the row in which the steps keep what they know of it.
+// The host table: discovery's entry for each host, and the row that holds what is known of it.
 //
-// Invariants. Rows of hosts that are gone for good are used again, ids that come and go all day must not pile
-// up; one in use never is (rows/named_rows.h). A started process begins with nothing held against it.
+// Invariants. Rows of hosts that are gone for good are reused, since ids that come and go must not pile up; a
+// row in use never is (rows/named_rows.h). A newly started process has a clean failure record.
 #ifndef CARTSPRING_SRC_CARTSPRING_HOSTS_H_
 #define CARTSPRING_SRC_CARTSPRING_HOSTS_H_
 
@@ -13,8 +13,8 @@
 
 namespace cartspring {
 
-constexpr double kDoubtLeast = -3.5;  // log odds that a host is failing before anything is held against it
-constexpr double kNear = 3;           // times as likely as another is a host of the own zone to be looked at
+constexpr double kDoubtLeast = -3.5;  // log odds that a host is failing, with a clean record
+constexpr double kNear = 3;           // preference for hosts of the own zone when sampling
 constexpr std::uint64_t kDiscoveryTimer = ~std::uint64_t{0} >> 1;
 
 class HostTable {
@@ -32,7 +32,7 @@
     return row;
   }
 
-  // A host that a whole list leaves out is gone, though nothing says so by name.
+  // `whole`: the entries are the complete list, and a host that it omits is gone.
   void Take(const std::vector<HostEntry>& entries, bool whole) {
     for (Host& host : rows_) host.listed = !whole;
     rows_.Sweep();
@@ -50,7 +50,7 @@
     mean_weight_ = weight > 0 ? weight / static_cast<double>(live_.size()) : 1;
   }
 
-  // Share of its capacity that a started host has for sure by now.
+  // Share of its capacity that a started host is guaranteed to have by now.
   double Warmth(const Host& host) const {
     const Settings& set = ctx_.set;
     if (host.entry.started_ms <= 0 || set.warm_within_ms <= 0) return 1;
@@ -58,7 +58,7 @@
     return std::min(1.0, set.cold_from + (1 - set.cold_from) * age / set.warm_within_ms);
   }
 
-  // Size against the fleet's mean, where the list tells sizes.
+  // Capacity relative to the fleet's mean, if the list gives weights; otherwise 1.
   double Size(const Host& host) const {
     return ctx_.set.weights_known && host.entry.weight > 0 ? host.entry.weight / mean_weight_ : 1;
   }
@@ -68,7 +68,7 @@
     const int known = rows_.Find(entry.host);
     Host& host = known >= 0 ? rows_[known] : rows_.Add(entry.host);
     if (known < 0 || entry.started_ms > host.entry.started_ms) {
-      // A new process: what was held against the old one, and its figure, are void.
+      // A new process: the failure record and load of the old one are void.
       host.doubt = kDoubtLeast;
       host.set_asides = 0;
       host.out_until = 0;
--- a/src/cartspring/policy.h
+++ b/src/cartspring/policy.h
@@ -1,12 +1,12 @@
-// The decisions of cartspring, tied together by the events. The interface is include/cartspring/balancer.h.
+// The event handlers of the balancer, which combine its decision steps (include/cartspring/balancer.h).
 //
 // The mechanism is Stochastic Skip, after Klein, Metzler and Bar-Yam, "Handling Emergent Resource Use
-// Oscillations": ready hosts are ranked by last reported load, each is passed over with one fixed chance, a
-// passed-over request moves on at once. The steps of a request, in order: host table (hosts.h), beliefs about
-// hosts (beliefs.h), legality (attempts.h), report gathering (reports.h), walk and admission (walk.h).
+// Oscillations": ready hosts are ranked by last reported load, each is passed over with one fixed chance, and
+// a passed-over request moves on at once. Its steps, in order: host table (hosts.h), estimates and health
+// (beliefs.h), legality (attempts.h), load reports (reports.h), choice and admission (host_selector.h).
 //
-// Invariants. Every request that is held has a timer at its end, and gets at most one answer from here.
-// Its entry goes as soon as it is over. Events that no longer matter change nothing but the time.
+// Invariants. Each open request has a timer at its end, gets at most one final action from here, and its
+// entry is removed as soon as it is over. Events that no longer matter change nothing but the time.
 #ifndef CARTSPRING_SRC_CARTSPRING_POLICY_H_
 #define CARTSPRING_SRC_CARTSPRING_POLICY_H_
 
@@ -17,9 +17,9 @@
 
 namespace cartspring {
 
-constexpr double kSoonest = 0.1;  // ms in which an answer can come
-constexpr int kLooksMax = 3;      // samples drawn for one attempt before giving up
-constexpr double kCutFactor = 2;  // an attempt cut off would have taken about this many times as long
+constexpr double kSoonest = 0.1;  // shortest time in which an answer can arrive
+constexpr int kLooksMax = 3;      // samples drawn in quick succession; later ones are spaced out
+constexpr double kCutFactor = 2;  // a timed-out attempt is assumed to have needed this multiple of its time
 
 class Balancer::Impl {
  public:
@@ -61,12 +61,12 @@
     health_.Earn();
     live.aim_at = admission_.AimOf(live);
     live.share = admission_.ShareOf(live.request);
-    // Past its aim such a request is worth nothing: ending it then frees the host.
+    // Without late worth a request is worth nothing past its target: ending it then frees the host.
     live.end_at =
         ctx_.ClassOf(request).late_worth > 0 ? request.give_up_ms : std::min(request.give_up_ms, live.aim_at);
     live.half_at = (ctx_.now + request.give_up_ms) / 2 - ctx_.set.tick_ms;
     sink_.SetTimer(std::max(attempts_.LastCall(live), ctx_.now), Token(request.id, kEndTimer));
-    if (attempts_.LastCall(live) <= ctx_.now) return;  // the timer answers it in the next batch
+    if (attempts_.LastCall(live) <= ctx_.now) return;  // the timer ends it in the next batch
     Gather(request.id, live);
   }
 
@@ -74,7 +74,7 @@
     Advance(now);
     const auto found = requests_.find(id);
     if (found == requests_.end() || attempt < 0 || attempt >= found->second.Count()) return;
-    found->second.begun = true;  // from here on it belongs to the client: no deadline, no further attempt
+    found->second.begun = true;  // the stream is the client's now: no deadline, no further attempt
   }
 
   void OnOutcome(double now, RequestId id, int attempt, Outcome outcome, bool over, double took,
@@ -89,7 +89,7 @@
     tried.may_have_run = !ProvesNeverRan(outcome);
     Return(tried);
     if (report != nullptr) reports_.Take(hosts_[tried.host], *report);
-    // What is no number, no time at all, or longer than anyone waits must not enter an estimate.
+    // NaN, times near 0 and times longer than any client waits must not enter an estimate.
     Judge(live, tried, outcome, std::min(std::max(kSoonest, took), ctx_.ClassOf(live.request).deadline_ms));
     if (over) return Forget(id, live);
     if (live.begun || live.gathering || live.Pending()) return;
@@ -145,7 +145,7 @@
     Live& live = found->second;
     if (token % kTimerKinds == kSlowTimer) {
       Attempt& last = live.attempts.back();
-      // Of a host that was not heard of lately it tells nothing, it may be gone; a cold one is always late.
+      // Not counted for hosts not heard of lately, which may be gone, or cold hosts, which are always late.
       last.slow = last.pending && ctx_.now >= last.sent_at + admission_.SlowAfter(live) - kSettled &&
                   ctx_.now - hosts_[last.host].load_at < ctx_.ClassOf(live.request).deadline_ms &&
                   hosts_.Warmth(hosts_[last.host]) >= 1;
@@ -166,7 +166,7 @@
   enum TimerKind : std::uint64_t { kEndTimer, kHoldTimer, kLateTimer, kSlowTimer, kTimerKinds };
   static std::uint64_t Token(RequestId id, TimerKind kind) { return id * kTimerKinds + kind; }
 
-  void Advance(double now) { ctx_.now = std::max(ctx_.now, now); }  // a clock that goes back: ignored
+  void Advance(double now) { ctx_.now = std::max(ctx_.now, now); }  // a clock that goes back is ignored
 
   void AskForList() {
     sink_.Subscribe();
@@ -196,16 +196,16 @@
     SendTo(id, live, kept);
   }
 
-  // A member of a large tier hears too seldom of a host to know when it would answer: there the pace decides,
-  // by all that it sees. What is kept for a cold host goes there in any case: it is little, and warms it up.
+  // In a large tier an instance sees too little of each host to predict its answers: there the pace decides,
+  // from all that it sees. The share of a cold host is sent in any case: it is little, and warms the host up.
   bool TakenOn(const Live& live, const Ranked& kept) {
     if (!ctx_.LargeTier()) return admission_.InTime(live, kept);
     if (live.Count() > 0 || hosts_.Warmth(hosts_[kept.host]) < 1) return true;
     return pace_.Admits(live.request.klass, ctx_.random.Unit());
   }
 
-  // No host to keep it: look again soon, then less and less often. But one that all hosts have passed over,
-  // or that nobody took in half its time, is given up: that is told while the client can act on it.
+  // No host was chosen: sample again soon, then less and less often. A request that all hosts have passed
+  // over, or that no host accepted in half its time, is ended while the client can still act on that.
   void LookAgain(RequestId id, Live& live) {
     ++live.looks;
     live.sample.clear();
@@ -233,13 +233,13 @@
     sink_.Send(id, host.entry.host, attempts_.AttemptEnd(live, host.expected_ms), repeat_by);
   }
 
-  // It is out no more.
+  // The attempt is no longer in flight.
   void Return(const Attempt& attempt) {
     if (attempt.late) reports_.CountLate(hosts_[attempt.host], -1);
     reports_.CountOwn(hosts_[attempt.host], -1);
   }
 
-  // What an outcome says of the host and of how long such requests take.
+  // Updates health and time estimates from an outcome.
   void Judge(const Live& live, const Attempt& tried, Outcome outcome, double took) {
     Host& host = hosts_[tried.host];
     const int klass = live.request.klass;
@@ -256,9 +256,9 @@
         estimates_.LearnTypical(klass, took);
         return estimates_.LearnTime(klass, host, tried.figure, live.share, took);
       case Outcome::kTimeout:
-        // It would have taken longer still. Counted as it stands, the fit could never expect a time-out. But
-        // of a host that said nothing all the while, and of an answer that was lost while others came, it
-        // tells nothing about the time that answers take.
+        // A timed-out attempt would have taken longer still; with its bare time the fit could never expect a
+        // time-out. But a host silent all the while, or an answer lost while others arrived, says nothing
+        // about answer times.
         if (host.waiting_since <= tried.sent_at || tried.late)
           return health_.Weigh(host, true, host.waiting_since <= tried.sent_at);
         return estimates_.LearnTime(klass, host, tried.figure, live.share, kCutFactor * took);
@@ -284,7 +284,7 @@
     for (const Attempt& attempt : live.attempts) {
       Host& host = hosts_[attempt.host];
       if (attempt.pending && health_.Silent(host))
-        health_.Weigh(host, true);  // or its silence would be forgotten with the request
+        health_.Weigh(host, true);  // else its silence would be forgotten with the request
       if (attempt.pending) Return(attempt);
       --host.held;
     }
--- a/src/cartspring/records.h
+++ b/src/cartspring/records.h
@@ -1,5 +1,4 @@
-// What is kept of a host and of a request. Plain data: what it means and when it changes is decided by the
-// steps that include this.
+// The records of hosts and requests. Plain data: the steps that include this file define when it changes.
 #ifndef CARTSPRING_SRC_CARTSPRING_RECORDS_H_
 #define CARTSPRING_SRC_CARTSPRING_RECORDS_H_
 
@@ -11,35 +10,35 @@
 
 namespace cartspring {
 
-// Each group of fields has one writer, which is named; what speaks of a process before is voided by
-// HostTable.
+// Each group of fields has one writer, named above it. HostTable also resets what refers to an earlier
+// process of the host.
 struct Host {
   HostEntry entry;
-  int row = 0;  // its own in the table
+  int row = 0;  // its index in the table
   bool listed = true;
-  double place = 0;  // in the own order of all hosts, by HostTable
-  int held = 0;      // by the event handlers: attempts of requests that are not over, ended ones included
+  double place = 0;  // position in this instance's own order of all hosts, by HostTable
+  int held = 0;      // by the event handlers: attempts of open requests, finished ones included
   // By Reports.
   double load = -1;  // last reported; -1: never
   double load_at = 0;
-  double others = 0;        // what of it was not this instance's own
-  double usual = 0;         // fading mean of that over reports, which stands for it once it is old
-  int own = 0;              // own attempts out
-  int late = 0;             // of these, the ones that are late
-  double own_mean = 0;      // fading mean of these
-  double own_at = 0;        // when it was brought up to date
-  double linked_until = 0;  // until when an idle connection to it stays open
+  double others = 0;        // the part of it that was not this instance's own
+  double usual = 0;         // decaying mean of `others` over reports, used once the last report is old
+  int own = 0;              // own attempts in flight
+  int late = 0;             // of these, the late ones
+  double own_mean = 0;      // decaying mean of own - late
+  double own_at = 0;        // time of its last update
+  double linked_until = 0;  // until when an idle connection to the host stays open
   bool probe_out = false;
   std::vector<RequestId> waiters;
   // By Health.
-  double waiting_since = 0;  // since when an own attempt is out and nothing was heard
-  double expected_ms = 0;    // of the attempt sent last
-  double doubt = 0;          // log odds that it is failing
+  double waiting_since = 0;  // since when an own attempt is in flight without any sign of the host
+  double expected_ms = 0;    // expected time of the attempt sent last
+  double doubt = 0;          // log odds that the host is failing
   int set_asides = 0;        // since its last answer
   double out_until = 0;
-  bool unreached = false;  // the last thing known of it is that no connection came up
+  bool unreached = false;  // the last connection attempt failed and nothing was heard since
   // By Estimates.
-  double slow_log = 0;  // log of how much slower than its kind it was last seen to be
+  double slow_log = 0;  // log of its time relative to its kind, when last updated
   double slow_at = 0;
 
   const std::string& Name() const { return entry.host; }
@@ -51,25 +50,25 @@
 struct Attempt {
   int host = 0;
   double sent_at = 0;
-  double figure = 0;  // the host's figure, this attempt included, when it was sent
+  double figure = 0;  // the host's figure when it was sent, this attempt included
   bool pending = true;
   bool may_have_run = true;
-  double late_at = 0;  // from then on its host is held to be done with it, though no answer came
+  double late_at = 0;  // from then on it no longer counts as load, though no answer came
   bool late = false;
-  bool slow = false;  // it was told to be late before its end
+  bool slow = false;  // was reported to the pace as late before its end
 };
 
 struct Live {
   Request request;
   double aim_at = 0;
   double end_at = 0;
-  double half_at = 0;  // by then one that was not sent is given up
-  bool first = true;   // the client's first try, as far as can be told
-  double share = 1;    // of its class's mean work, by the client's hint
+  double half_at = 0;  // a request not sent by then is ended
+  bool first = true;   // the client's first try, as far as can be determined
+  double share = 1;    // work relative to its class's mean, by the client's hint
   std::vector<Attempt> attempts;
   std::vector<int> sample;
-  std::vector<int> barred;  // hosts that this request tried, or passed over for being cold
-  double considered = 1;    // chance of a host to be in the sample
+  std::vector<int> barred;  // hosts that this request tried, or skipped for being cold
+  double considered = 1;    // probability that a given host is in the sample
   double looked_at = 0;
   double hold_until = 0;
   int reports_due = 0;
@@ -84,7 +83,7 @@
   bool MayHaveRun() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.may_have_run; });
   }
-  void Renew() {  // as if new, but for its memory
+  void Renew() {  // resets all fields but keeps the vectors' memory
     Live fresh;
     const auto keep = [](auto& to, auto& from) {
       to.swap(from);
@@ -99,11 +98,11 @@
   bool Barred(int host) const { return std::find(barred.begin(), barred.end(), host) != barred.end(); }
 };
 
-// A host in the walk's ranking.
+// A host in the ranking of HostSelector.
 struct Ranked {
   double key;
   double tie;
-  int host;  // or one of the two below
+  int host;  // or kNoHost or kAllFull
   double figure;
 
   bool operator<(const Ranked& other) const { return key != other.key ? key < other.key : tie < other.tie; }
--- a/src/cartspring/reports.h
+++ b/src/cartspring/reports.h
@@ -1,8 +1,8 @@
-// Report gathering: what hosts report of their load, what of it is this instance's own doing, and which hosts
-// are looked at for a request.
+// Load reports: what hosts report, how much of their load is this instance's own, and which hosts are sampled
+// for a request.
 //
-// Invariants. At most one probe of a host is out. Where probes are asked, an attempt looks at kSampleMax
-// hosts at most. A row that is too old is not ranked by.
+// Invariants. At most one probe of a host is in flight. Where hosts are probed, an attempt samples at most
+// kSampleMax hosts. Hosts are not ranked by a report that is too old.
 #ifndef CARTSPRING_SRC_CARTSPRING_REPORTS_H_
 #define CARTSPRING_SRC_CARTSPRING_REPORTS_H_
 
@@ -10,18 +10,18 @@
 
 namespace cartspring {
 
-constexpr double kLookSpend = 0.012;  // share of the result that may be spent on the probes of a request
-constexpr int kSampleMin = 2;         // hosts looked at for a request: fewer is no choice
-constexpr int kSampleMax = 5;         // more add little to the best of the sample
-constexpr int kHoldTicks = 2;         // a request waits this long for its sample's reports
-constexpr double kProbedLife = 0.25;  // a probed row is ranked by for this multiple of an answer's usual time
-constexpr double kAnsweredLife = 8;   // one that came with an answer for this multiple
-constexpr double kOwnMemory = 4;      // usual times of an answer over which own attempts are averaged
-constexpr double kShareMemoryMs = 1000;  // over which this instance's share of what hosts hold is averaged
-constexpr double kLoadMost = 24;         // requests that a host of the mean size is believed to hold at most
-constexpr double kFullest = 6;           // requests that a host of the mean size holds at most
-constexpr double kUsualWeight = 0.25;    // of a report in what a host usually holds
-constexpr double kShareLeast = 0.5;      // of an equal share among the instances
+constexpr double kLookSpend = 0.012;     // share of the result that the probes of a request may cost
+constexpr int kSampleMin = 2;            // hosts sampled for a request: fewer is no choice
+constexpr int kSampleMax = 5;            // more add little to the best of the sample
+constexpr int kHoldTicks = 2;            // a request waits this long for its sample's reports
+constexpr double kProbedLife = 0.25;     // validity of a probe's report, in typical answer times
+constexpr double kAnsweredLife = 8;      // validity of a report that came with an answer, likewise
+constexpr double kOwnMemory = 4;         // averaging time of own attempts, in typical answer times
+constexpr double kShareMemoryMs = 1000;  // averaging time of this instance's share of the load on hosts
+constexpr double kLoadMost = 24;         // most requests believed of a report, for a host of mean size
+constexpr double kFullest = 6;           // most requests that a host of mean size is given
+constexpr double kUsualWeight = 0.25;    // weight of a new report in a host's usual load
+constexpr double kShareLeast = 0.5;      // least share of this instance, in equal shares among all
 
 class Reports {
  public:
@@ -29,13 +29,13 @@
       : ctx_(ctx), hosts_(hosts), estimates_(estimates), sink_(sink) {}
 
   bool Probing() const { return ctx_.set.reporting == Reporting::kProbe && ctx_.set.may_probe; }
-  // Has this instance a connection to the host that nothing uses?
+  // Does this instance have an idle connection to the host?
   bool Linked(const Host& host) const { return host.own == 0 && ctx_.now < host.linked_until; }
   double Rtt(int zone) const { return FigureAt(rtt_, zone); }  // 0: not known
 
-  // Is the host's row recent enough to rank by? A probe is sent anew after a fraction of a request's time;
-  // rows that only answers bring are kept longer, but not for good: a host last seen busy would never be
-  // chosen again.
+  // Is the host's report recent enough to rank by? A new probe is sent after a fraction of a request's time;
+  // reports that come only with answers are valid longer, but not for good: a host last seen busy would never
+  // be chosen again.
   bool Reported(const Host& host, const Live& live) const {
     const double life = (Probing() ? kProbedLife : kAnsweredLife) * estimates_.Typical(live.request.klass);
     return host.load >= 0 &&
@@ -47,13 +47,13 @@
     if (told < 0) return;
     const double load = std::min(told, kLoadMost * hosts_.Size(host));
     CountOwn(host, 0);
-    // A report that came with an answer tells of some time before it, of which the mean is all that is known.
+    // A report with an answer describes some moment before it, for which only the mean is known.
     host.others = std::max(0.0, load - (Probing() ? host.Working() : host.own_mean));
     host.usual = host.load < 0 ? host.others : host.usual + kUsualWeight * (host.others - host.usual);
     host.load = load;
     host.load_at = ctx_.now;
-    // Each report counts for the time since the one before it; half a request beside an equal share's worth
-    // of others stands for what is not known yet.
+    // Each report counts for the time since the previous one. The prior, for what is not known yet, is half a
+    // request beside an equal share's worth of others.
     const double kept = std::exp((share_at_ - ctx_.now) / kShareMemoryMs), equal = 1.0 / ctx_.set.balancers;
     share_at_ = ctx_.now;
     own_ += (1 - kept) * (host.own_mean - own_);
@@ -61,10 +61,10 @@
     share_ = std::clamp((own_ + 0.5) / (all_ + 0.5 / equal), kShareLeast * equal, 1.0);
   }
 
-  // Time alone would let a host be crowded where work is small beside the aims. Crowded for a second or two,
-  // a host turns slow, and stays so while it is kept busy. What it holds is told by the own requests there
-  // and this instance's share of what all hosts hold: reports come late, and when hosts leave or a burst sets
-  // in they say next to nothing; what others send grows and shrinks as this instance's own does.
+  // Is the host at its request limit? By expected time alone a host would be crowded where work is small
+  // beside the target latency; crowded for a second or two, a host turns slow and stays so while kept busy.
+  // Its load is inferred from the own requests there and this instance's share of all load: reports come late
+  // and say next to nothing when hosts leave or a burst begins; others' load moves as this instance's does.
   bool Full(const Host& host) const {
     return host.Working() > 0 &&
            host.Working() + 1 > kFullest * share_ * hosts_.Size(host) * hosts_.Warmth(host);
@@ -76,8 +76,8 @@
     host.own_at = ctx_.now;
     host.own += more;
   }
-  // An attempt that is out for several times as long as expected is no load any more: its answer was lost, or
-  // its host is silent, which is for Health. Else it would fill its host until its time is out.
+  // An attempt in flight for several times as long as expected no longer counts as load: its answer was lost,
+  // or its host is silent, which is for Health. Else it would fill its host until its time is out.
   void CountLate(Host& host, int more) {
     CountOwn(host, 0);
     host.late += more;
@@ -85,10 +85,10 @@
 
   void Served(Host& host) { host.linked_until = ctx_.now + ctx_.set.connection_idle_ms; }
 
-  // Where only probes report, a small random sample is looked at as the request arrives: at full size an
-  // instance's rows are seconds old, and ranking those sends every instance to the same hosts (the paper's
-  // oscillation). Elsewhere the first ready ones of the own order are ranked by what answers told. False: no
-  // need to wait. `fits`: may a row be sent to; `count`: how many hosts may.
+  // Draws the sample for a request. With probes, a small random one on arrival: in a fleet of full size an
+  // instance's reports are seconds old, and ranking by those sends all instances to the same hosts (the
+  // paper's oscillation). Otherwise the first ready hosts of the own order, ranked by what answers reported.
+  // Returns whether to wait for reports. `fits`: may a row be sent to; `count`: how many hosts may.
   template <class Fits, class Count>
   bool Gather(RequestId id, Live& live, const Fits& fits, const Count& count) {
     live.sample.clear();
@@ -105,9 +105,9 @@
     std::vector<int> pool;
     std::ranges::copy_if(hosts_.live(), std::back_inserter(pool), fits);
     if (ctx_.set.connection_idle_ms > 0) {
-      // Part of the sample has a connection open: with many hosts and few requests every send would else
-      // pay for a new one. Cold hosts are left out, or they would be drawn more often than their share is cut
-      // for.
+      // Part of the sample has a connection open: with many hosts and few requests nearly every send would
+      // pay for a new one. Cold hosts are left out, or they would be drawn more often than their share
+      // allows for.
       std::vector<int> linked = pool;
       std::erase_if(linked, [&](int i) { return !Linked(hosts_[i]) || hosts_.Warmth(hosts_[i]) < 1; });
       ctx_.random.Draw(linked, SampleSize() / 2, live.sample);
@@ -132,7 +132,7 @@
     return live.reports_due > 0;
   }
 
-  // Hands over the requests that waited for the probe.
+  // Records a probe's result and returns the requests that waited for it.
   std::vector<RequestId> Probed(Host& host, bool answered, double took, const LoadReport* report) {
     host.probe_out = false;
     if (answered && report != nullptr) Take(host, *report);
@@ -154,7 +154,7 @@
   const Estimates& estimates_;
   ActionSink& sink_;
   std::vector<double> rtt_;   // by zone
-  double own_ = 0, all_ = 0;  // fading means of what a host holds, own and in all
+  double own_ = 0, all_ = 0;  // decaying means of the load of a host, own and total
   double share_ = 1.0 / ctx_.set.balancers, share_at_ = 0;
 };
 
--- a/src/cartspring/settings.h
+++ b/src/cartspring/settings.h
@@ -1,4 +1,4 @@
-// The settings as the simulator's first message and a sidecar's configuration both name them.
+// Reads settings, under the key names that the simulator's first message and a sidecar's configuration share.
 #ifndef CARTSPRING_SRC_CARTSPRING_SETTINGS_H_
 #define CARTSPRING_SRC_CARTSPRING_SETTINGS_H_
 
@@ -7,7 +7,7 @@
 
 namespace cartspring {
 
-Settings ReadSettings(const Fields& fields);  // throws ParseError, which names the faulty key
+Settings ReadSettings(const Fields& fields);  // throws ParseError, which names the invalid key
 
 }  // namespace cartspring
 
--- a/src/cartspring/time_shape.h
+++ b/src/cartspring/time_shape.h
@@ -1,4 +1,5 @@
-// How the time of an attempt grows with its host's figure, read from outcomes. A fit, it decides nothing.
+// The relation between a host's figure (its load by size and warmth) and the time of an attempt, fitted
+// to outcomes.
 #ifndef CARTSPRING_SRC_CARTSPRING_TIME_SHAPE_H_
 #define CARTSPRING_SRC_CARTSPRING_TIME_SHAPE_H_
 
@@ -8,16 +9,16 @@
 
 namespace cartspring {
 
-constexpr double kFirstOffset = 4;    // figure at which a host takes twice its unloaded time, at first
-constexpr double kOffsetLeast = 0.5;  // and the bounds within which that is learned
+constexpr double kFirstOffset = 4;    // initial figure at which a host takes twice its unloaded time
+constexpr double kOffsetLeast = 0.5;  // bounds of the learned value
 constexpr double kOffsetMost = 16;
-constexpr double kShapeFade = 0.98;    // what the time's shape keeps of its past at each new outcome
-constexpr double kShapeSpread = 0.01;  // least squared variation of the figures seen that tells a slope
+constexpr double kShapeFade = 0.98;    // factor on past outcomes at each new one
+constexpr double kShapeSpread = 0.01;  // least squared variation of the figures seen that determines a slope
 
-// How the time of an attempt grows with its host's figure: in proportion to figure + offset, and 1 at the
-// mean of the figures seen. The offset is read from a fading straight-line fit over this instance's own
-// outcomes; the level is kept apart, by class and kind, so that what one class meets does not move what is
-// expected of another. Held at the mean, it stays true when the offset moves.
+// How the time of an attempt grows with its host's figure: in proportion to figure + offset, normalised to 1
+// at the mean of the figures seen. The offset comes from a line fitted with decay to this instance's own
+// outcomes. The level is kept elsewhere, per class and kind, so that outcomes of one class do not move the
+// expected times of another; normalised at the mean, it stays valid when the offset moves.
 class TimeShape {
  public:
   TimeShape() {
@@ -27,12 +28,12 @@
   }
   void Add(double figure, double time) {
     line_.Add(figure, time);
-    if (!line_.Sloped(kShapeSpread)) return;  // figures all alike tell no slope, only noise
+    if (!line_.Sloped(kShapeSpread)) return;  // equal figures determine no slope, only noise
     offset_ = line_.Slope() > 0 ? std::clamp(line_.Offset(), kOffsetLeast, kOffsetMost) : kOffsetMost;
   }
-  // `share`: the request's own work against its class's mean, where clients hint at it.
+  // `share`: the request's work relative to its class's mean, where clients hint at it.
   double At(double figure, double share) const { return (figure + offset_ * share) * Slope(); }
-  double Offset() const { return offset_ * Slope(); }  // of the time, not of the figure
+  double Offset() const { return offset_ * Slope(); }  // in units of time, not of the figure
   double Slope() const { return 1 / (line_.MeanX() + offset_); }
 
  private:
--- a/src/cartspring/walk.h
+++ b/src/cartspring/walk.h
@@ -1,9 +1,9 @@
-// The walk, Stochastic Skip: candidates ranked by load as time, each passed over with one fixed chance. And
-// admission: when an answer is wanted, and whether the host that the walk chose will give it by then.
+// Host selection by Stochastic Skip: candidates ranked by load as time, each passed over with one fixed
+// chance. Admission: when an answer is wanted, and whether the chosen host will give it by then.
 //
-// Invariants. The walk ends: its rounds are bounded. A cold host is drawn for once a request, neither walk
-// restarts nor retries try again; all instances together, each keeping its share of it, stay well under what
-// makes it fall. A host seen idle takes any request. A hint counts within kShareMost of its class's mean.
+// Invariants. Selection ends: its rounds are bounded. A cold host is drawn for once a request, neither new
+// samples nor retries draw again; all instances together, each keeping to its share, stay well under what
+// makes it fail. A host seen idle takes any request. A hint counts within kShareMost of its class's mean.
 #ifndef CARTSPRING_SRC_CARTSPRING_WALK_H_
 #define CARTSPRING_SRC_CARTSPRING_WALK_H_
 
@@ -13,16 +13,16 @@
 namespace cartspring {
 
 constexpr double kSkip = 0.1;        // r, the chance that a ranked host is passed over
-constexpr int kRounds = 4;           // walks over the ranking before the first host is taken unskipped
-constexpr double kAimShare = 0.8;    // expected time over time left at which a request is still taken on
-constexpr double kRoomShare = 0.65;  // and share of the shortest aim that is left to those behind it
-constexpr double kComeBack = 0.5;  // usual times of an answer after which one that was refused may come back
-constexpr double kShareMost = 8;   // a hint is believed within this factor of its class's mean
-constexpr double kFirstContact = 4;  // price of a new connection for what must not run twice, as a multiple
-constexpr double kSlowWork = 3.5;    // times its work after which an answer is late
-constexpr double kSlowAim = 0.2;     // share of the aim that stands for it where clients give no hint
-constexpr double kTryOff = 0.01;     // of a deadline, by which the time of first tries varies
-constexpr double kOtherTry = 0.3;    // weight of a try that comes with another time
+constexpr int kRounds = 4;           // rounds over the ranking before its first host is taken without a skip
+constexpr double kAimShare = 0.8;    // most of the time left that an admitted request is expected to take
+constexpr double kRoomShare = 0.65;  // most of the shortest target latency that the next request would take
+constexpr double kComeBack = 0.5;    // typical answer times after which a refused client may retry
+constexpr double kShareMost = 8;     // a hint counts within this factor of its class's mean
+constexpr double kFirstContact = 4;  // factor on the price of a connection for what must not run twice
+constexpr double kSlowWork = 3.5;    // an answer is late after this multiple of its hinted work
+constexpr double kSlowAim = 0.2;     // the same without hints, as a share of the target latency
+constexpr double kTryOff = 0.01;     // share of the deadline by which the time budget of first tries varies
+constexpr double kOtherTry = 0.3;    // weight of a try that comes with another time budget
 constexpr double kFirstTriesMost = 20;
 
 class Walk {
@@ -30,9 +30,9 @@
   Walk(Context& ctx, const HostTable& hosts, const Estimates& estimates, const Reports& reports)
       : ctx_(ctx), hosts_(hosts), estimates_(estimates), reports_(reports) {}
 
-  // Of the hosts that may be sent to. kNoHost: all were passed over for being cold; kAllFull: some were full.
+  // Chooses from the sample. kNoHost: all were passed over for being cold; kAllFull: some were full.
   Ranked Choose(Live& live) {
-    // Hosts whose probes have not answered are ranked only if none has.
+    // Hosts whose probes have not been answered are ranked only if none has.
     const auto unknown = [&](int i) { return !reports_.Reported(hosts_[i], live); };
     if (reports_.Probing() && !std::ranges::all_of(live.sample, unknown)) std::erase_if(live.sample, unknown);
     double known = 0, known_count = 0;
@@ -51,13 +51,13 @@
         continue;
       }
       if (!KeptThoughCold(live, i)) continue;
-      // A cold host without a row counts as having less than the mean to do: it must be tried to be known.
+      // A cold host without a report counts as less loaded than the mean: it must be tried to be known.
       const double warmth = hosts_.Warmth(host);
       const double others = reports_.Reported(host, live) ? host.others
                             : host.load >= 0              ? host.usual
                                                           : unreported * warmth - (1 - warmth);
       const double figure = (others + host.Working() + 1) / (hosts_.Size(host) * warmth);  // with this one
-      // What is kept for a cold host goes there first: it warms up by being used, and looks slow until then.
+      // The share of a cold host goes there first: it warms up by being used, and looks slow until then.
       const double key =
           warmth < 1 ? 0 : estimates_.DueToFigure(live.request.klass, host, figure) + Distance(host, live);
       ranking_.Add({key, ctx_.random.Unit(), i, figure});
@@ -72,7 +72,7 @@
   }
 
  private:
-  // Crossing zones costs time and a price, a new connection a price; prices are taken as time of the aim.
+  // Crossing zones costs time and a price, a new connection a price; prices are shares of the target.
   double Distance(const Host& host, const Live& live) const {
     const Settings& set = ctx_.set;
     const RequestClass& klass = ctx_.ClassOf(live.request);
@@ -88,7 +88,7 @@
     if (warmth >= 1) return true;
     const double fair = hosts_.Size(hosts_[i]) / static_cast<double>(hosts_.live().size());
     const double keep = warmth * (ctx_.set.fall_multiple / 2) * fair / live.considered;
-    // By first tries alone: what clients ask again while much is refused would multiply what all send it.
+    // First tries only: while much is refused, clients' retries would multiply what all instances send to it.
     if (live.first && ctx_.random.Unit() < keep) return true;
     live.barred.push_back(i);
     return false;
@@ -98,7 +98,7 @@
   const HostTable& hosts_;
   const Estimates& estimates_;
   const Reports& reports_;
-  Ranking<Ranked> ranking_;  // of one call: only its memory lasts
+  Ranking<Ranked> ranking_;  // used within one call; kept to reuse its memory
 };
 
 class Admission {
@@ -109,9 +109,9 @@
     CarryOver(seen_, like, [](std::size_t) { return Seen{}; });
   }
 
-  // When the answer is wanted. A client's retry keeps the clock of its first try. First tries of a class all
-  // come with the same time, and they are most of what comes; one that comes with more or less than that is a
-  // retry, which began a deadline before its end.
+  // When the answer is wanted. A client's retry counts from its first try. First tries of a class, most of
+  // the traffic, all come with the same time budget; a request with more or less than that is a retry, which
+  // began a deadline before its end.
   double AimOf(Live& live) {
     const RequestClass& klass = ctx_.ClassOf(live.request);
     Seen& seen = seen_[live.request.klass];
@@ -124,7 +124,7 @@
     return std::min(began + klass.aim_ms + klass.aim_stretch * live.request.work_hint_ms, give_up);
   }
 
-  // The request's own work against its class's mean, by the client's hint; 1 without one.
+  // The request's work relative to its class's mean, by the client's hint; 1 without one.
   double ShareOf(const Request& request) {
     const double hint = request.work_hint_ms;
     if (hint <= 0) return 1;
@@ -133,29 +133,29 @@
     return std::clamp(hint / mean, 1 / kShareMost, kShareMost);
   }
 
-  // An answer that takes longer is late, whatever was learned: several times its work as the client hints at
-  // it, and more where that is little for its class; without hints a share of its aim.
+  // The time after which an answer is late, whatever was learned: a multiple of the hinted work, raised for
+  // requests below their class's mean; without hints a share of the target latency.
   double SlowAfter(const Live& live) const {
     const double hint = live.request.work_hint_ms;
     return hint > 0 ? kSlowWork * hint / std::min(1.0, live.share)
                     : kSlowAim * ctx_.ClassOf(live.request).aim_ms;
   }
 
-  // When one that is refused should come back: once hosts have ended about half of what they hold, in time
-  // for its aim, and not in step with others. 0: no advice.
+  // The retry delay for a refusal: hosts have then finished about half of what they hold, the target latency
+  // can still be met, and clients are not in step. 0: no advice.
   double ComeBack(int klass) {
     const double longest = ctx_.set.may_advise_retry ? ctx_.set.max_retry_after_ms : 0;
     return std::min(longest, kComeBack * estimates_.Typical(klass) * (0.5 + ctx_.random.Unit()));
   }
 
-  // A request is taken on if it is expected within its aim, or within its time for what it is worth then, and
-  // if another behind it would be within the shortest aim of all, or nearly so if it is worth less: else
-  // patient and late ones fill the hosts and shut the others out. Judged by what its own class met: what
-  // another one meets is no measure of the host.
+  // A request is admitted if it is expected within its target, or by its end for its late worth, and if
+  // another one behind it would meet (nearly, for a lower worth) the shortest target of all: else patient and
+  // late requests fill the hosts and shut out the others. Judged by its own class's outcomes: those of other
+  // classes are no measure of the host.
   bool InTime(const Live& live, const Ranked& kept) const {
     const Host& host = hosts_[kept.host];
     const int klass = live.request.klass, hastiest = estimates_.hastiest();
-    // A host seen idle is always worth a try: refused for what was learned, it could teach nothing again.
+    // A host seen idle is always tried: if learned times ruled it out, it could never be learned anew.
     if (kept.figure * hosts_.Size(host) * hosts_.Warmth(host) < 2) return true;
     const double time = estimates_.Expected(klass, host, kept.figure, live.share);
     double worth = WorthForWork(klass) / WorthForWork(hastiest);
@@ -167,8 +167,8 @@
 
  private:
   struct Seen {
-    double first_try_ms = 0;  // the time that first tries come with
-    double first_tries = 0;   // how surely
+    double first_try_ms = 0;  // the time budget of first tries
+    double first_tries = 0;   // confidence in it, a weighted count
     double mean_hint_ms = 0;
   };
 
