--- a/src/cartspring/attempts.h
+++ b/src/cartspring/attempts.h
@@ -10,9 +10,9 @@
 
 namespace cartspring {
 
-constexpr double kRetryShare = 0.2;  // further attempts earned by each request
-constexpr double kRetrySaved = 5;    // most further attempts that can be saved up
-constexpr double kCutAfter = 6;      // expected times until a request that may run again is tried elsewhere
+constexpr double kRetriesPerRequest = 0.2;  // further attempts earned by each request
+constexpr double kMaxSavedRetries = 5;      // most further attempts that can be saved up
+constexpr double kCutAfterTimes = 6;  // expected times until a request that may run again is tried elsewhere
 
 inline bool ProvesNeverRan(Outcome outcome) {
   return outcome == Outcome::kRefusedByHost || outcome == Outcome::kConnectFailed ||
@@ -24,7 +24,7 @@
   Attempts(const Context& ctx, const HostTable& hosts) : ctx_(ctx), hosts_(hosts) {}
 
   // The last time at which a batch can still end the request in time.
-  double LastCall(const Live& live) const { return live.end_at - ctx_.set.tick_ms; }
+  double LastBatchTime(const Live& live) const { return live.end_at - ctx_.set.tick_ms; }
 
   // The time by which a further attempt must be sent: later its repeat would no longer be deduplicated.
   double RepeatBy(const Live& live) const {
@@ -38,7 +38,7 @@
     const Host& host = hosts_[to];
     const RequestClass& klass = ctx_.ClassOf(live.request);
     const Settings& set = ctx_.set;
-    if (host.entry.state != HostState::kLive || live.begun) return false;
+    if (host.entry.state != HostState::kLive || live.stream_begun) return false;
     if (live.Count() >= set.max_attempts || ctx_.now >= live.request.give_up_ms) return false;
     if (ctx_.now > RepeatBy(live) - set.tick_ms) return false;
     for (const Attempt& earlier : live.attempts) {
@@ -60,19 +60,19 @@
 
   // When to cut the attempt off: a request that may run again does not spend all its time on one host.
   double AttemptEnd(const Live& live, double expected_ms) const {
-    const double end = LastCall(live), cut = ctx_.now + kCutAfter * expected_ms;
+    const double end = LastBatchTime(live), cut = ctx_.now + kCutAfterTimes * expected_ms;
     const bool again = ctx_.ClassOf(live.request).effect == Effect::kSafe &&
                        live.Count() < ctx_.set.max_attempts && tokens_ >= 1 && cut + expected_ms < end;
     return again ? cut : end;
   }
 
-  void Earn() { tokens_ = std::min(kRetrySaved, tokens_ + kRetryShare); }
+  void EarnToken() { tokens_ = std::min(kMaxSavedRetries, tokens_ + kRetriesPerRequest); }
 
   // After a failure: allows another attempt if it is legal, can still finish in time, and is earned. An
   // attempt known not to have run has cost its host nothing and needs no earning.
-  bool WorthAnother(const Live& live, Outcome outcome, double typical_ms) {
+  bool AllowRetry(const Live& live, Outcome outcome, double typical_ms) {
     if (live.Count() >= ctx_.set.max_attempts) return false;
-    if (LastCall(live) - ctx_.now < typical_ms / 2) return false;
+    if (LastBatchTime(live) - ctx_.now < typical_ms / 2) return false;
     if (ctx_.now > RepeatBy(live) - ctx_.set.tick_ms) return false;
     if (ProvesNeverRan(outcome)) return true;
     if (tokens_ < 1) return false;
@@ -83,7 +83,7 @@
  private:
   const Context& ctx_;
   const HostTable& hosts_;
-  double tokens_ = kRetrySaved / 2;
+  double tokens_ = kMaxSavedRetries / 2;
 };
 
 }  // namespace cartspring
--- a/src/cartspring/balancer.cpp
+++ b/src/cartspring/balancer.cpp
@@ -27,11 +27,11 @@
 Balancer::~Balancer() = default;
 void Balancer::OnHostList(double now_ms, const std::vector<HostEntry>& all, bool remembered) {
   const Entry entry(entered_);
-  impl_->OnHosts(now_ms, all, /*whole=*/true, remembered);
+  impl_->OnHosts(now_ms, all, /*complete=*/true, remembered);
 }
 void Balancer::OnHostChanges(double now_ms, const std::vector<HostEntry>& changed) {
   const Entry entry(entered_);
-  impl_->OnHosts(now_ms, changed, /*whole=*/false, /*remembered=*/false);
+  impl_->OnHosts(now_ms, changed, /*complete=*/false, /*remembered=*/false);
 }
 void Balancer::OnDiscoveryRefused(double now_ms) {
   const Entry entry(entered_);
--- a/src/cartspring/beliefs.h
+++ b/src/cartspring/beliefs.h
@@ -1,9 +1,9 @@
 // What is learned about hosts: how long answers take (Estimates) and which hosts may be sent to (Health).
 //
-// Invariants. A host's slowness stays within kSlowMost of its kind and decays with the time since its last
+// Invariants. A host's slowness stays within kMaxSlowness of its kind and decays with the time since its last
 // outcome; all other time estimates change by outcomes alone, and the outcomes of one class do not move the
-// level of another. The failure log odds stay within kDoubtLeast and kDoubtMost. A pause is at most 1.5 times
-// the longest deadline of any class. If most of the fleet looks unhealthy, none of it is excluded.
+// level of another. The failure log odds stay within kMinLogOdds and kMaxLogOdds. A pause is at most 1.5
+// times the longest deadline of any class. If most of the fleet looks unhealthy, none of it is excluded.
 #ifndef CARTSPRING_SRC_CARTSPRING_BELIEFS_H_
 #define CARTSPRING_SRC_CARTSPRING_BELIEFS_H_
 
@@ -16,45 +16,45 @@
 
 namespace cartspring {
 
-constexpr double kFirstGuess = 0.2;     // assumed answer time of an unloaded host, as share of the target
-constexpr double kGuessOff = 1.5;       // the first outcome counts within this factor of the guess
-constexpr double kSlowWeight = 0.25;    // weight of a new outcome in its host's slowness
-constexpr double kOddMost = 3;          // one outcome counts as at most this multiple of its level
-constexpr double kSlowMost = 8;         // most that a host counts as slower than its kind
-constexpr double kTypicalWeight = 0.1;  // weight of a new sample in running means
-constexpr double kFailing = 0.6;        // share of its requests that a failing host is assumed to fail
-constexpr double kSpoiltWeight = 0.01;  // weight of an outcome in the failure rate of healthy hosts
-constexpr double kSpoiltLeast = 0.003;
-constexpr double kDoubtMost = 4;
-constexpr double kPauseTypical = 4;  // first pause of a host set aside, in typical answer times
-constexpr double kLookShare = 0.02;  // recovery attempts, on hosts set aside, earned by each request
-constexpr double kLooksSaved = 2;
-constexpr double kSilentAfter = 3;  // expected times without any answer until a host counts as silent
+constexpr double kInitialAimShare = 0.2;     // assumed answer time of an idle host, as share of the target
+constexpr double kGuessTolerance = 1.5;      // the first outcome counts within this factor of the guess
+constexpr double kSlownessWeight = 0.25;     // weight of a new outcome in its host's slowness
+constexpr double kMaxOutcomeRatio = 3;       // one outcome counts as at most this multiple of its level
+constexpr double kMaxSlowness = 8;           // most that a host counts as slower than its kind
+constexpr double kMeanWeight = 0.1;          // weight of a new sample in running means
+constexpr double kFailingRate = 0.6;         // share of its requests that a failing host is assumed to fail
+constexpr double kFailureRateWeight = 0.01;  // weight of an outcome in the failure rate of healthy hosts
+constexpr double kMinFailureRate = 0.003;
+constexpr double kMaxLogOdds = 4;
+constexpr double kFirstPauseTimes = 4;   // first pause of a suspected host, in typical answer times
+constexpr double kRecoveryShare = 0.02;  // recovery attempts, on paused hosts, earned by each request
+constexpr double kMaxRecoveries = 2;
+constexpr double kSilentAfterTimes = 3;  // expected times without an answer until a host counts as silent
 
 class Estimates {
  public:
   explicit Estimates(const Context& ctx) : ctx_(ctx) { Retune(std::vector<int>(ctx.set.classes.size(), -1)); }
   void Retune(const std::vector<int>& like) {
     CarryOver(learned_, like, [&](std::size_t i) {
-      const double guess = ctx_.set.classes[i].aim_ms * kFirstGuess;
+      const double guess = ctx_.set.classes[i].aim_ms * kInitialAimShare;
       return Learned{guess, guess / shape_.At(1, 1)};
     });
-    hastiest_ = ctx_.Hastiest();
+    strictest_ = ctx_.StrictestClass();
   }
 
-  int hastiest() const { return hastiest_; }  // the class with the shortest target latency
+  int strictest() const { return strictest_; }  // the class with the shortest target latency
   double Typical(int klass) const { return learned_[klass].typical_ms; }
-  double UsualAnswer() const { return Typical(hastiest_); }
+  double UsualAnswer() const { return Typical(strictest_); }
   double PerFigure(int klass) const { return learned_[klass].per_figure; }
 
   // Time per unit of figure on the host's kind of machine: kinds suit classes differently, and where the list
   // gives no weights this is all that is known of their speed.
   double PerFigure(int klass, const Host& host) const {
     const Learned& learned = learned_[klass];
-    const double known = FigureAt(learned.on_kind, host.entry.kind);
+    const double known = ValueAt(learned.on_kind, host.entry.kind);
     return (known > 0 ? known : learned.per_figure) * Slower(host);
   }
-  // Expected time of the whole attempt, and the part of it that is due to the figure.
+  // Expected time of the complete attempt, and the part of it that is due to the figure.
   double Expected(int klass, const Host& host, double figure, double share) const {
     return PerFigure(klass, host) * shape_.At(figure, share);
   }
@@ -63,29 +63,29 @@
   }
 
   void LearnTypical(int klass, double took) {
-    learned_[klass].typical_ms += kTypicalWeight * (took - learned_[klass].typical_ms);
+    learned_[klass].typical_ms += kMeanWeight * (took - learned_[klass].typical_ms);
   }
 
   // `figure`, `share`: the host's figure and the request's relative work when it was sent.
   void LearnTime(int klass, Host& host, double figure, double share, double took) {
     Learned& learned = learned_[klass];
     const double shape = shape_.At(figure, share), level = took / shape;
-    double& on_kind = PlaceAt(learned.on_kind, host.entry.kind);
+    double& on_kind = SlotAt(learned.on_kind, host.entry.kind);
     // The first outcome sets its kind's level, within bounds: compared with a guess, the hosts tried first
     // would all look unusually fast or slow beside those not tried yet.
     if (on_kind <= 0)
-      on_kind = std::clamp(level, learned.per_figure / kGuessOff, learned.per_figure * kGuessOff);
-    const double slower = std::clamp(level / on_kind, 1 / kSlowMost, kSlowMost);
+      on_kind = std::clamp(level, learned.per_figure / kGuessTolerance, learned.per_figure * kGuessTolerance);
+    const double slower = std::clamp(level / on_kind, 1 / kMaxSlowness, kMaxSlowness);
     const double usual = took / Slower(host);  // had the host been as fast as its kind
-    host.slow_log = SlowLog(host) * (1 - kSlowWeight) + std::log(slower) * kSlowWeight;
+    host.slow_log = SlowLog(host) * (1 - kSlownessWeight) + std::log(slower) * kSlownessWeight;
     host.slow_at = ctx_.now;
-    shape_.Add(figure, std::min(usual / on_kind, kOddMost * shape) - shape_.Offset() * (share - 1));
+    shape_.Add(figure, std::min(usual / on_kind, kMaxOutcomeRatio * shape) - shape_.Offset() * (share - 1));
     // Moved by the difference, not the ratio: hints are rough, and small requests that took long would count
     // most. Large deviations are the host's, not the kind's: counted at c times the level, a share b of such
     // outcomes raises it without bound once b * (c - 1) is 1 - b; a third of them for 3, an eighth for 8.
-    on_kind += kTypicalWeight * (std::min(usual, kOddMost * on_kind * shape) - on_kind * shape);
+    on_kind += kMeanWeight * (std::min(usual, kMaxOutcomeRatio * on_kind * shape) - on_kind * shape);
     double& level_all = learned.per_figure;
-    level_all += kTypicalWeight * (std::min(usual, kOddMost * level_all * shape) - level_all * shape);
+    level_all += kMeanWeight * (std::min(usual, kMaxOutcomeRatio * level_all * shape) - level_all * shape);
   }
 
  private:
@@ -106,7 +106,7 @@
   const Context& ctx_;
   std::vector<Learned> learned_;  // by class
   TimeShape shape_;
-  int hastiest_ = 0;
+  int strictest_ = 0;
 };
 
 class Health {
@@ -115,74 +115,74 @@
 
   // In a large tier each instance tests by itself whether a host has recovered, and sees little traffic:
   // requests earn these attempts, or they would be a large part of all that is sent.
-  void Earn() { looks_ = std::min(kLooksSaved, looks_ + kLookShare); }
+  void EarnToken() { recoveries_ = std::min(kMaxRecoveries, recoveries_ + kRecoveryShare); }
 
   // Sent: called before the attempt is counted as in flight. Heard: on any sign of life from the host.
   void Sent(Host& host, double expected_ms) {
-    if (host.doubt > 0 && ctx_.LargeTier()) looks_ = std::max(0.0, looks_ - 1);
+    if (host.log_odds > 0 && ctx_.LargeTier()) recoveries_ = std::max(0.0, recoveries_ - 1);
     host.expected_ms = expected_ms;
     watched_.Add(host.row);
     if (host.own == 0) Heard(host);
   }
   void Heard(Host& host) { host.waiting_since = ctx_.now; }
 
-  // Updates the log odds that a host is failing. A failure is weighed by the current failure rate of hosts
-  // with a clean record: where any host fails some requests, one failure says little. Answers lower the
-  // odds again.
-  void Weigh(Host& host, bool failed, bool silent = false) {
-    if (host.doubt <= 0 && !silent)
-      spoilt_ = std::clamp(spoilt_ + kSpoiltWeight * (failed - spoilt_), kSpoiltLeast, kFailing / 2);
-    const double odds = failed ? kFailing / spoilt_ : (1 - kFailing) / (1 - spoilt_);
-    host.doubt = std::clamp(host.doubt + std::log(odds), kDoubtLeast, kDoubtMost);
-    if (!failed) host.set_asides = 0;
-    if (host.doubt > 0) SetAside(host);
+  // Updates the log odds that a host is failing. Failures are weighed by their current rate on hosts with a
+  // clean record: where any host fails some requests, one says little. Answers lower the odds again.
+  void RecordOutcome(Host& host, bool failed, bool silent = false) {
+    if (host.log_odds <= 0 && !silent)
+      failure_rate_ = std::clamp(failure_rate_ + kFailureRateWeight * (failed - failure_rate_),
+                                 kMinFailureRate, kFailingRate / 2);
+    const double odds = failed ? kFailingRate / failure_rate_ : (1 - kFailingRate) / (1 - failure_rate_);
+    host.log_odds = std::clamp(host.log_odds + std::log(odds), kMinLogOdds, kMaxLogOdds);
+    if (!failed) host.pauses = 0;
+    if (host.log_odds > 0) Pause(host);
   }
 
   // Pauses grow and are jittered, so that instances do not return to the host in step.
-  void SetAside(Host& host) {
+  void Pause(Host& host) {
     watched_.Add(host.row);
-    if (ctx_.now < host.out_until) return;
-    const double pause = std::min(
-        ctx_.Patience(), kPauseTypical * estimates_.UsualAnswer() * (1 << std::min(host.set_asides, 8)));
-    host.out_until = ctx_.now + pause * (0.5 + ctx_.random.Unit());
-    ++host.set_asides;
+    if (ctx_.now < host.paused_until) return;
+    const double pause = std::min(ctx_.LongestDeadline(), kFirstPauseTimes * estimates_.UsualAnswer() *
+                                                              (1 << std::min(host.pauses, 8)));
+    host.paused_until = ctx_.now + pause * (0.5 + ctx_.random.Unit());
+    ++host.pauses;
   }
 
   // Detects hosts that accept requests and never answer: no outcome shows this before a time-out does, and
   // until then their last report looks as good as ever.
   bool Silent(const Host& host) const {
-    return host.own > 0 && ctx_.now - host.waiting_since > kSilentAfter * host.expected_ms;
+    return host.own > 0 && ctx_.now - host.waiting_since > kSilentAfterTimes * host.expected_ms;
   }
 
   // Returns a predicate: may a host be sent to now? `safe`: by a request that may run again. If most of the
   // fleet looks unhealthy, the fault is likelier in this view: use all hosts that can be reached.
   auto Ready(const HostTable& hosts, bool safe) {
-    watched_.EraseIf([&](int i) { return hosts[i].own == 0 && hosts[i].doubt <= 0 && !Out(hosts[i]); });
+    watched_.EraseIf([&](int i) { return hosts[i].own == 0 && hosts[i].log_odds <= 0 && !Paused(hosts[i]); });
     const std::ptrdiff_t all = std::ssize(hosts.live());
-    const auto ill = watched_.CountIf([&](int i) { return hosts[i].Live() && Ill(hosts[i]); });
-    const auto lost = watched_.CountIf([&](int i) { return hosts[i].Live() && Lost(hosts[i]); });
+    const auto ill = watched_.CountIf([&](int i) { return hosts[i].Live() && Unhealthy(hosts[i]); });
+    const auto lost = watched_.CountIf([&](int i) { return hosts[i].Live() && Unreachable(hosts[i]); });
     return [this, safe, blind = 2 * (all - ill) < all && lost < all](const Host& host) {
-      if (blind) return !Lost(host);
-      // After being set aside, a host gets one attempt at a time, of a request that may run again if there
-      // are any, until its answers clear it.
-      return !Ill(host) || (looks_ >= 1 && host.own == 0 && !Out(host) &&
-                            (safe || ctx_.now > host.out_until + ctx_.Patience()));
+      if (blind) return !Unreachable(host);
+      // After its pause, a host gets one attempt at a time, of a request that may run again if there are any,
+      // until its answers clear it.
+      return !Unhealthy(host) || (recoveries_ >= 1 && host.own == 0 && !Paused(host) &&
+                                  (safe || ctx_.now > host.paused_until + ctx_.LongestDeadline()));
     };
   }
 
-  // Includes all hosts that are set aside, suspected or hold an own attempt; some may no longer be.
+  // Includes all hosts that are paused, suspected or hold an own attempt; some may no longer be.
   const RowSet& watched() const { return watched_; }
 
  private:
-  bool Out(const Host& host) const { return ctx_.now < host.out_until; }
-  bool Ill(const Host& host) const { return host.doubt > 0 || Out(host) || Silent(host); }
-  bool Lost(const Host& host) const { return host.unreached && Out(host); }
+  bool Paused(const Host& host) const { return ctx_.now < host.paused_until; }
+  bool Unhealthy(const Host& host) const { return host.log_odds > 0 || Paused(host) || Silent(host); }
+  bool Unreachable(const Host& host) const { return host.connect_failed && Paused(host); }
 
   Context& ctx_;
   const Estimates& estimates_;
   RowSet watched_;
-  double looks_ = kLooksSaved;    // attempts that may go to hosts set aside for failing
-  double spoilt_ = kSpoiltLeast;  // failure rate of hosts with a clean record
+  double recoveries_ = kMaxRecoveries;     // attempts that may go to hosts paused for failing
+  double failure_rate_ = kMinFailureRate;  // failure rate of hosts with a clean record
 };
 
 }  // namespace cartspring
--- a/src/cartspring/carry_over.h
+++ b/src/cartspring/carry_over.h
@@ -19,11 +19,11 @@
   rows = std::move(out);
 }
 
-// FigureAt: the row's value, 0 where none was set. PlaceAt: a reference to it; the vector grows as needed.
-inline double FigureAt(const std::vector<double>& rows, int row) {
+// ValueAt: the row's value, 0 where none was set. SlotAt: a reference to it; the vector grows as needed.
+inline double ValueAt(const std::vector<double>& rows, int row) {
   return static_cast<std::size_t>(row) < rows.size() ? rows[static_cast<std::size_t>(row)] : 0;
 }
-inline double& PlaceAt(std::vector<double>& rows, int row) {
+inline double& SlotAt(std::vector<double>& rows, int row) {
   if (static_cast<std::size_t>(row) >= rows.size()) rows.resize(static_cast<std::size_t>(row) + 1, 0);
   return rows[static_cast<std::size_t>(row)];
 }
--- a/src/cartspring/context.h
+++ b/src/cartspring/context.h
@@ -15,11 +15,11 @@
 
 namespace cartspring {
 
-constexpr double kSettled = 1e-6;  // tolerance for comparing times
+constexpr double kTimeToleranceMs = 1e-6;  // tolerance for comparing times
 constexpr double kNever = std::numeric_limits<double>::infinity();
 // With more instances than this, an instance's share of the requests that a host may hold is below one:
 // limits on counts have no effect, and the instance sees little of any host.
-constexpr int kSmallTier = 6;
+constexpr int kMaxSmallTier = 6;
 
 // splitmix64: small, seeded and portable. The standard library's distributions differ
 // between implementations.
@@ -55,7 +55,7 @@
   Comeback comeback{set};
 
   // Retired classes are left out of the next two.
-  int Hastiest() const {  // the class with the shortest target latency, the first of equals
+  int StrictestClass() const {  // the class with the shortest target latency, the first of equals
     int best = -1;
     for (std::size_t i = 0; i < set.classes.size(); ++i) {
       if (set.classes[i].retired) continue;
@@ -64,7 +64,7 @@
     }
     return std::max(0, best);
   }
-  double Patience() const {  // the longest deadline
+  double LongestDeadline() const {
     double longest = 0;
     for (const RequestClass& klass : set.classes) {
       if (!klass.retired) longest = std::max(longest, klass.deadline_ms);
@@ -76,7 +76,7 @@
     for (const RequestClass& klass : set.classes) worths.push_back(klass.worth);
     return worths;
   }
-  bool LargeTier() const { return set.balancers > kSmallTier; }
+  bool LargeTier() const { return set.balancers > kMaxSmallTier; }
   const RequestClass& ClassOf(const Request& request) const { return set.classes[request.klass]; }
 };
 
--- a/src/cartspring/fields.cpp
+++ b/src/cartspring/fields.cpp
@@ -47,7 +47,7 @@
 
 std::string_view Fields::Text(std::string_view field, std::string_view absent) const {
   const auto value = Find(field);
-  if (!value) StandIn(field, absent);
+  if (!value) OnDefaultUsed(field, absent);
   return value.value_or(absent);
 }
 
@@ -56,7 +56,7 @@
 double Fields::Number(std::string_view field, double absent) const {
   const auto value = Find(field);
   if (value) return ToNumber(*value, field);
-  StandIn(field, absent);
+  OnDefaultUsed(field, absent);
   return absent;
 }
 
@@ -65,14 +65,14 @@
 std::uint64_t Fields::Whole(std::string_view field, std::uint64_t absent) const {
   const auto value = Find(field);
   if (value) return ToWhole(*value, field);
-  StandIn(field, static_cast<double>(absent));
+  OnDefaultUsed(field, static_cast<double>(absent));
   return absent;
 }
 
 bool Fields::Flag(std::string_view field) const {
   const auto value = Find(field);
   if (value) return ToFlag(*value, field);
-  StandIn(field, std::string_view("false"));
+  OnDefaultUsed(field, std::string_view("false"));
   return false;
 }
 
--- a/src/cartspring/fields.h
+++ b/src/cartspring/fields.h
@@ -45,8 +45,8 @@
 
  protected:
   // Called with the default used for an absent field, so that a reader can report which values are defaults.
-  virtual void StandIn(std::string_view /*field*/, std::string_view /*value*/) const {}
-  virtual void StandIn(std::string_view /*field*/, double /*value*/) const {}
+  virtual void OnDefaultUsed(std::string_view /*field*/, std::string_view /*value*/) const {}
+  virtual void OnDefaultUsed(std::string_view /*field*/, double /*value*/) const {}
 };
 
 }  // namespace cartspring
--- a/src/cartspring/walk.h
+++ b/src/cartspring/host_selector.h
@@ -3,31 +3,31 @@
 //
 // Invariants. Selection ends: its rounds are bounded. A cold host is drawn for once a request, neither new
 // samples nor retries draw again; all instances together, each keeping to its share, stay well under what
-// makes it fail. A host seen idle takes any request. A hint counts within kShareMost of its class's mean.
-#ifndef CARTSPRING_SRC_CARTSPRING_WALK_H_
-#define CARTSPRING_SRC_CARTSPRING_WALK_H_
+// makes it fail. A host seen idle takes any request. A hint counts within kMaxHintRatio of its class's mean.
+#ifndef CARTSPRING_SRC_CARTSPRING_HOST_SELECTOR_H_
+#define CARTSPRING_SRC_CARTSPRING_HOST_SELECTOR_H_
 
 #include "cartspring/reports.h"
 #include "rows/ranking.h"
 
 namespace cartspring {
 
-constexpr double kSkip = 0.1;        // r, the chance that a ranked host is passed over
-constexpr int kRounds = 4;           // rounds over the ranking before its first host is taken without a skip
-constexpr double kAimShare = 0.8;    // most of the time left that an admitted request is expected to take
-constexpr double kRoomShare = 0.65;  // most of the shortest target latency that the next request would take
-constexpr double kComeBack = 0.5;    // typical answer times after which a refused client may retry
-constexpr double kShareMost = 8;     // a hint counts within this factor of its class's mean
-constexpr double kFirstContact = 4;  // factor on the price of a connection for what must not run twice
-constexpr double kSlowWork = 3.5;    // an answer is late after this multiple of its hinted work
-constexpr double kSlowAim = 0.2;     // the same without hints, as a share of the target latency
-constexpr double kTryOff = 0.01;     // share of the deadline by which the time budget of first tries varies
-constexpr double kOtherTry = 0.3;    // weight of a try that comes with another time budget
-constexpr double kFirstTriesMost = 20;
-
-class Walk {
+constexpr double kSkipChance = 0.1;  // r, the chance that a ranked host is passed over
+constexpr int kMaxRounds = 4;        // rounds over the ranking before its first host is taken without a skip
+constexpr double kMaxTimeShare = 0.8;   // of the time left, that an admitted request may be expected to take
+constexpr double kNextAimShare = 0.65;  // most of the shortest target that the next request would take
+constexpr double kRetryDelayTimes = 0.5;     // typical answer times after which a refused client may retry
+constexpr double kMaxHintRatio = 8;          // a hint counts within this factor of its class's mean
+constexpr double kUnsafeFactor = 4;          // on the price of a connection for what must not run twice
+constexpr double kSlowWorkMultiple = 3.5;    // an answer is late after this multiple of its hinted work
+constexpr double kSlowAimShare = 0.2;        // the same without hints, as a share of the target latency
+constexpr double kFirstTryTolerance = 0.01;  // share of the deadline by which the time of first tries varies
+constexpr double kOtherTryWeight = 0.3;      // weight of a try that comes with another time budget
+constexpr double kMaxFirstTries = 20;
+
+class HostSelector {
  public:
-  Walk(Context& ctx, const HostTable& hosts, const Estimates& estimates, const Reports& reports)
+  HostSelector(Context& ctx, const HostTable& hosts, const Estimates& estimates, const Reports& reports)
       : ctx_(ctx), hosts_(hosts), estimates_(estimates), reports_(reports) {}
 
   // Chooses from the sample. kNoHost: all were passed over for being cold; kAllFull: some were full.
@@ -46,26 +46,26 @@
     bool full = false;
     for (const int i : live.sample) {
       const Host& host = hosts_[i];
-      if (reports_.Full(host)) {
+      if (reports_.AtLimit(host)) {
         full = true;
         continue;
       }
-      if (!KeptThoughCold(live, i)) continue;
+      if (!AcceptsColdHost(live, i)) continue;
       // A cold host without a report counts as less loaded than the mean: it must be tried to be known.
       const double warmth = hosts_.Warmth(host);
       const double others = reports_.Reported(host, live) ? host.others
                             : host.load >= 0              ? host.usual
                                                           : unreported * warmth - (1 - warmth);
-      const double figure = (others + host.Working() + 1) / (hosts_.Size(host) * warmth);  // with this one
+      const double figure = (others + host.CurrentOwn() + 1) / (hosts_.Size(host) * warmth);  // with this one
       // The share of a cold host goes there first: it warms up by being used, and looks slow until then.
       const double key =
           warmth < 1 ? 0 : estimates_.DueToFigure(live.request.klass, host, figure) + Distance(host, live);
       ranking_.Add({key, ctx_.random.Unit(), i, figure});
     }
     if (ranking_.size() == 0) return {0, 0, full ? kAllFull : kNoHost, 0};
-    for (int round = 0; round < kRounds; ++round) {
+    for (int round = 0; round < kMaxRounds; ++round) {
       for (std::size_t k = 0; k < ranking_.size(); ++k) {
-        if (ctx_.random.Unit() >= kSkip) return ranking_.At(k);
+        if (ctx_.random.Unit() >= kSkipChance) return ranking_.At(k);
       }
     }
     return ranking_.At(0);
@@ -76,21 +76,21 @@
   double Distance(const Host& host, const Live& live) const {
     const Settings& set = ctx_.set;
     const RequestClass& klass = ctx_.ClassOf(live.request);
-    const double contact = klass.effect == Effect::kSafe ? 1 : kFirstContact;
-    const double link = reports_.Linked(host) ? 0 : contact * set.handshake_price * klass.aim_ms;
+    const double contact = klass.effect == Effect::kSafe ? 1 : kUnsafeFactor;
+    const double link = reports_.HasIdleConnection(host) ? 0 : contact * set.handshake_price * klass.aim_ms;
     if (host.entry.zone == set.own_zone) return link;
     const double way = std::max(0.0, reports_.Rtt(host.entry.zone) - reports_.Rtt(set.own_zone));
     return link + way + set.cross_zone_price * klass.aim_ms;
   }
 
-  bool KeptThoughCold(Live& live, int i) {
+  bool AcceptsColdHost(Live& live, int i) {
     const double warmth = hosts_.Warmth(hosts_[i]);
     if (warmth >= 1) return true;
     const double fair = hosts_.Size(hosts_[i]) / static_cast<double>(hosts_.live().size());
-    const double keep = warmth * (ctx_.set.fall_multiple / 2) * fair / live.considered;
+    const double keep = warmth * (ctx_.set.fall_multiple / 2) * fair / live.sample_chance;
     // First tries only: while much is refused, clients' retries would multiply what all instances send to it.
     if (live.first && ctx_.random.Unit() < keep) return true;
-    live.barred.push_back(i);
+    live.excluded.push_back(i);
     return false;
   }
 
@@ -104,48 +104,48 @@
 class Admission {
  public:
   Admission(Context& ctx, const HostTable& hosts, const Estimates& estimates)
-      : ctx_(ctx), hosts_(hosts), estimates_(estimates), seen_(ctx.set.classes.size()) {}
+      : ctx_(ctx), hosts_(hosts), estimates_(estimates), class_stats_(ctx.set.classes.size()) {}
   void Retune(const std::vector<int>& like) {
-    CarryOver(seen_, like, [](std::size_t) { return Seen{}; });
+    CarryOver(class_stats_, like, [](std::size_t) { return ClassStats{}; });
   }
 
   // When the answer is wanted. A client's retry counts from its first try. First tries of a class, most of
   // the traffic, all come with the same time budget; a request with more or less than that is a retry, which
   // began a deadline before its end.
-  double AimOf(Live& live) {
+  double TargetTimeOf(Live& live) {
     const RequestClass& klass = ctx_.ClassOf(live.request);
-    Seen& seen = seen_[live.request.klass];
+    ClassStats& seen = class_stats_[live.request.klass];
     const double give_up = live.request.give_up_ms, budget = give_up - ctx_.now,
-                 off = kTryOff * klass.deadline_ms + 2 * ctx_.set.tick_ms;
-    if (seen.first_tries < kOtherTry) seen.first_try_ms = budget;
+                 off = kFirstTryTolerance * klass.deadline_ms + 2 * ctx_.set.tick_ms;
+    if (seen.first_tries < kOtherTryWeight) seen.first_try_ms = budget;
     live.first = std::abs(budget - seen.first_try_ms) <= off;
-    seen.first_tries = std::min(kFirstTriesMost, seen.first_tries + (live.first ? 1 : -kOtherTry));
+    seen.first_tries = std::min(kMaxFirstTries, seen.first_tries + (live.first ? 1 : -kOtherTryWeight));
     const double began = live.first ? ctx_.now : std::min(ctx_.now, give_up - klass.deadline_ms);
     return std::min(began + klass.aim_ms + klass.aim_stretch * live.request.work_hint_ms, give_up);
   }
 
   // The request's work relative to its class's mean, by the client's hint; 1 without one.
-  double ShareOf(const Request& request) {
+  double WorkRatioOf(const Request& request) {
     const double hint = request.work_hint_ms;
     if (hint <= 0) return 1;
-    double& mean = seen_[request.klass].mean_hint_ms;
-    mean = mean > 0 ? mean + kTypicalWeight * (std::min(hint, kShareMost * mean) - mean) : hint;
-    return std::clamp(hint / mean, 1 / kShareMost, kShareMost);
+    double& mean = class_stats_[request.klass].mean_hint_ms;
+    mean = mean > 0 ? mean + kMeanWeight * (std::min(hint, kMaxHintRatio * mean) - mean) : hint;
+    return std::clamp(hint / mean, 1 / kMaxHintRatio, kMaxHintRatio);
   }
 
   // The time after which an answer is late, whatever was learned: a multiple of the hinted work, raised for
   // requests below their class's mean; without hints a share of the target latency.
   double SlowAfter(const Live& live) const {
     const double hint = live.request.work_hint_ms;
-    return hint > 0 ? kSlowWork * hint / std::min(1.0, live.share)
-                    : kSlowAim * ctx_.ClassOf(live.request).aim_ms;
+    return hint > 0 ? kSlowWorkMultiple * hint / std::min(1.0, live.share)
+                    : kSlowAimShare * ctx_.ClassOf(live.request).aim_ms;
   }
 
   // The retry delay for a refusal: hosts have then finished about half of what they hold, the target latency
   // can still be met, and clients are not in step. 0: no advice.
-  double ComeBack(int klass) {
+  double RetryDelay(int klass) {
     const double longest = ctx_.set.may_advise_retry ? ctx_.set.max_retry_after_ms : 0;
-    return std::min(longest, kComeBack * estimates_.Typical(klass) * (0.5 + ctx_.random.Unit()));
+    return std::min(longest, kRetryDelayTimes * estimates_.Typical(klass) * (0.5 + ctx_.random.Unit()));
   }
 
   // A request is admitted if it is expected within its target, or by its end for its late worth, and if
@@ -154,19 +154,19 @@
   // classes are no measure of the host.
   bool InTime(const Live& live, const Ranked& kept) const {
     const Host& host = hosts_[kept.host];
-    const int klass = live.request.klass, hastiest = estimates_.hastiest();
+    const int klass = live.request.klass, strictest = estimates_.strictest();
     // A host seen idle is always tried: if learned times ruled it out, it could never be learned anew.
     if (kept.figure * hosts_.Size(host) * hosts_.Warmth(host) < 2) return true;
     const double time = estimates_.Expected(klass, host, kept.figure, live.share);
-    double worth = WorthForWork(klass) / WorthForWork(hastiest);
-    if (time > kAimShare * (live.aim_at - ctx_.now)) worth *= ctx_.set.classes[klass].late_worth;
-    return worth > 0 && time <= kAimShare * (live.end_at - ctx_.now) &&
+    double worth = WorthForWork(klass) / WorthForWork(strictest);
+    if (time > kMaxTimeShare * (live.target_at - ctx_.now)) worth *= ctx_.set.classes[klass].late_worth;
+    return worth > 0 && time <= kMaxTimeShare * (live.end_at - ctx_.now) &&
            estimates_.Expected(klass, host, kept.figure, 1) <=
-               kRoomShare * ctx_.set.classes[hastiest].aim_ms * std::sqrt(std::min(1.0, worth));
+               kNextAimShare * ctx_.set.classes[strictest].aim_ms * std::sqrt(std::min(1.0, worth));
   }
 
  private:
-  struct Seen {
+  struct ClassStats {
     double first_try_ms = 0;  // the time budget of first tries
     double first_tries = 0;   // confidence in it, a weighted count
     double mean_hint_ms = 0;
@@ -179,9 +179,9 @@
   Context& ctx_;
   const HostTable& hosts_;
   const Estimates& estimates_;
-  std::vector<Seen> seen_;  // by class
+  std::vector<ClassStats> class_stats_;  // by class
 };
 
 }  // namespace cartspring
 
-#endif  // CARTSPRING_SRC_CARTSPRING_WALK_H_
+#endif  // CARTSPRING_SRC_CARTSPRING_HOST_SELECTOR_H_
--- a/src/cartspring/hosts.h
+++ b/src/cartspring/hosts.h
@@ -13,8 +13,8 @@
 
 namespace cartspring {
 
-constexpr double kDoubtLeast = -3.5;  // log odds that a host is failing, with a clean record
-constexpr double kNear = 3;           // preference for hosts of the own zone when sampling
+constexpr double kMinLogOdds = -3.5;  // log odds that a host is failing, with a clean record
+constexpr double kOwnZoneFactor = 3;  // preference for hosts of the own zone when sampling
 constexpr std::uint64_t kDiscoveryTimer = ~std::uint64_t{0} >> 1;
 
 class HostTable {
@@ -32,9 +32,9 @@
     return row;
   }
 
-  // `whole`: the entries are the complete list, and a host that it omits is gone.
-  void Take(const std::vector<HostEntry>& entries, bool whole) {
-    for (Host& host : rows_) host.listed = !whole;
+  // `complete`: the entries are the complete list, and a host that it omits is gone.
+  void Update(const std::vector<HostEntry>& entries, bool complete) {
+    for (Host& host : rows_) host.listed = !complete;
     rows_.Sweep();
     for (const HostEntry& entry : entries) Learn(entry);
     live_.Clear();
@@ -69,16 +69,16 @@
     Host& host = known >= 0 ? rows_[known] : rows_.Add(entry.host);
     if (known < 0 || entry.started_ms > host.entry.started_ms) {
       // A new process: the failure record and load of the old one are void.
-      host.doubt = kDoubtLeast;
-      host.set_asides = 0;
-      host.out_until = 0;
+      host.log_odds = kMinLogOdds;
+      host.pauses = 0;
+      host.paused_until = 0;
       host.load = -1;
     }
     host.entry = entry;
     host.listed = true;
     if (!host.InUse()) rows_.Freed(host.row);
     const double size = ctx_.set.weights_known && entry.weight > 0 ? entry.weight : 1;
-    host.place = subset_.PlaceOf(entry.host, size * (entry.zone == ctx_.set.own_zone ? kNear : 1));
+    host.place = subset_.PlaceOf(entry.host, size * (entry.zone == ctx_.set.own_zone ? kOwnZoneFactor : 1));
   }
 
   const Context& ctx_;
--- a/src/cartspring/policy.h
+++ b/src/cartspring/policy.h
@@ -11,15 +11,15 @@
 #define CARTSPRING_SRC_CARTSPRING_POLICY_H_
 
 #include "cartspring/attempts.h"
-#include "cartspring/walk.h"
+#include "cartspring/host_selector.h"
 #include "pace/pace.h"
 #include "rows/spare_map.h"
 
 namespace cartspring {
 
-constexpr double kSoonest = 0.1;  // shortest time in which an answer can arrive
-constexpr int kLooksMax = 3;      // samples drawn in quick succession; later ones are spaced out
-constexpr double kCutFactor = 2;  // a timed-out attempt is assumed to have needed this multiple of its time
+constexpr double kMinAnswerMs = 0.1;  // shortest time in which an answer can arrive
+constexpr int kQuickDraws = 3;        // samples drawn in quick succession; later ones are spaced out
+constexpr double kTimeoutFactor = 2;  // a timed-out attempt is assumed to need this multiple of its time
 
 class Balancer::Impl {
  public:
@@ -34,9 +34,9 @@
     pace_.Retune(ctx_.Worths(), like);
   }
 
-  void OnHosts(double now, const std::vector<HostEntry>& entries, bool whole, bool remembered) {
+  void OnHosts(double now, const std::vector<HostEntry>& entries, bool complete, bool remembered) {
     Advance(now);
-    hosts_.Take(entries, whole);
+    hosts_.Update(entries, complete);
     const auto name_of = [&](int i) -> const std::string& { return hosts_[i].entry.host; };
     ctx_.comeback.Told(ctx_.now, hosts_.live(), name_of, remembered);
     if (remembered && ctx_.set.must_subscribe) AskForList();
@@ -57,16 +57,16 @@
     Live& live = requests_[request.id];
     live.request = request;
     if (!std::isfinite(request.work_hint_ms)) live.request.work_hint_ms = 0;
-    attempts_.Earn();
-    health_.Earn();
-    live.aim_at = admission_.AimOf(live);
-    live.share = admission_.ShareOf(live.request);
+    attempts_.EarnToken();
+    health_.EarnToken();
+    live.target_at = admission_.TargetTimeOf(live);
+    live.share = admission_.WorkRatioOf(live.request);
     // Without late worth a request is worth nothing past its target: ending it then frees the host.
-    live.end_at =
-        ctx_.ClassOf(request).late_worth > 0 ? request.give_up_ms : std::min(request.give_up_ms, live.aim_at);
+    live.end_at = ctx_.ClassOf(request).late_worth > 0 ? request.give_up_ms
+                                                       : std::min(request.give_up_ms, live.target_at);
     live.half_at = (ctx_.now + request.give_up_ms) / 2 - ctx_.set.tick_ms;
-    sink_.SetTimer(std::max(attempts_.LastCall(live), ctx_.now), Token(request.id, kEndTimer));
-    if (attempts_.LastCall(live) <= ctx_.now) return;  // the timer ends it in the next batch
+    sink_.SetTimer(std::max(attempts_.LastBatchTime(live), ctx_.now), Token(request.id, kEndTimer));
+    if (attempts_.LastBatchTime(live) <= ctx_.now) return;  // the timer ends it in the next batch
     Gather(request.id, live);
   }
 
@@ -74,7 +74,7 @@
     Advance(now);
     const auto found = requests_.find(id);
     if (found == requests_.end() || attempt < 0 || attempt >= found->second.Count()) return;
-    found->second.begun = true;  // the stream is the client's now: no deadline, no further attempt
+    found->second.stream_begun = true;  // the stream is the client's now: no deadline, no further attempt
   }
 
   void OnOutcome(double now, RequestId id, int attempt, Outcome outcome, bool over, double took,
@@ -87,13 +87,14 @@
     Attempt& tried = live.attempts[attempt];
     tried.pending = false;
     tried.may_have_run = !ProvesNeverRan(outcome);
-    Return(tried);
-    if (report != nullptr) reports_.Take(hosts_[tried.host], *report);
+    ReleaseAttempt(tried);
+    if (report != nullptr) reports_.Update(hosts_[tried.host], *report);
     // NaN, times near 0 and times longer than any client waits must not enter an estimate.
-    Judge(live, tried, outcome, std::min(std::max(kSoonest, took), ctx_.ClassOf(live.request).deadline_ms));
+    Learn(live, tried, outcome,
+          std::min(std::max(kMinAnswerMs, took), ctx_.ClassOf(live.request).deadline_ms));
     if (over) return Forget(id, live);
-    if (live.begun || live.gathering || live.Pending()) return;
-    if (attempts_.WorthAnother(live, outcome, estimates_.Typical(live.request.klass))) {
+    if (live.stream_begun || live.gathering || live.Pending()) return;
+    if (attempts_.AllowRetry(live, outcome, estimates_.Typical(live.request.klass))) {
       Gather(id, live);
     } else {
       End(id, live);
@@ -104,8 +105,8 @@
                      const LoadReport* report) {
     Host& host = hosts_[hosts_.RowOf(name)];
     Advance(now);
-    const std::vector<RequestId> waiters = reports_.Probed(host, answered, took, report);
-    if (!answered) health_.Weigh(host, true);
+    const std::vector<RequestId> waiters = reports_.FinishProbe(host, answered, took, report);
+    if (!answered) health_.RecordOutcome(host, true);
     for (const RequestId id : waiters) {
       const auto found = requests_.find(id);
       if (found == requests_.end() || !found->second.gathering) continue;
@@ -141,23 +142,23 @@
     if (token == kDiscoveryTimer) return ctx_.comeback.Due(ctx_.now) ? AskForList() : void();
     const RequestId id = token / kTimerKinds;
     const auto found = requests_.find(id);
-    if (found == requests_.end() || found->second.begun) return;
+    if (found == requests_.end() || found->second.stream_begun) return;
     Live& live = found->second;
     if (token % kTimerKinds == kSlowTimer) {
       Attempt& last = live.attempts.back();
       // Not counted for hosts not heard of lately, which may be gone, or cold hosts, which are always late.
-      last.slow = last.pending && ctx_.now >= last.sent_at + admission_.SlowAfter(live) - kSettled &&
+      last.slow = last.pending && ctx_.now >= last.sent_at + admission_.SlowAfter(live) - kTimeToleranceMs &&
                   ctx_.now - hosts_[last.host].load_at < ctx_.ClassOf(live.request).deadline_ms &&
                   hosts_.Warmth(hosts_[last.host]) >= 1;
       if (last.slow) pace_.Heard(/*late=*/true);
     } else if (token % kTimerKinds == kLateTimer) {
       Attempt& last = live.attempts.back();
-      if (!last.pending || last.late || ctx_.now < last.late_at - kSettled) return;
+      if (!last.pending || last.late || ctx_.now < last.late_at - kTimeToleranceMs) return;
       last.late = true;
       reports_.CountLate(hosts_[last.host], 1);
     } else if (token % kTimerKinds == kEndTimer) {
-      if (ctx_.now >= attempts_.LastCall(live) - kSettled) End(id, live);
-    } else if (live.gathering && ctx_.now >= live.hold_until - kSettled) {
+      if (ctx_.now >= attempts_.LastBatchTime(live) - kTimeToleranceMs) End(id, live);
+    } else if (live.gathering && ctx_.now >= live.hold_until - kTimeToleranceMs) {
       live.sample.empty() ? Gather(id, live) : Decide(id, live);
     }
   }
@@ -176,12 +177,13 @@
   void Gather(RequestId id, Live& live) {
     const auto ready = health_.Ready(hosts_, ctx_.ClassOf(live.request).effect == Effect::kSafe);
     const auto fits = [&](int i) {
-      return ready(hosts_[i]) && attempts_.MaySend(live, i) && !live.Barred(i);
+      return ready(hosts_[i]) && attempts_.MaySend(live, i) && !live.Excluded(i);
     };
     const auto unfit = [&](int i) { return hosts_[i].Live() && !fits(i); };
     const auto count = [&] {  // what may have run can be bound to a zone or cell
-      return std::ssize(hosts_.live()) - (live.MayHaveRun() ? std::ranges::count_if(hosts_.live(), unfit)
-                                                            : health_.watched().CountIf(unfit, live.barred));
+      return std::ssize(hosts_.live()) - (live.MayHaveRun()
+                                              ? std::ranges::count_if(hosts_.live(), unfit)
+                                              : health_.watched().CountIf(unfit, live.excluded));
     };
     if (!reports_.Gather(id, live, fits, count)) return Decide(id, live);
     sink_.SetTimer(live.hold_until, Token(id, kHoldTimer));
@@ -190,15 +192,15 @@
   void Decide(RequestId id, Live& live) {
     live.gathering = false;
     std::erase_if(live.sample, [&](int i) { return !attempts_.MaySend(live, i); });
-    const Ranked kept = walk_.Choose(live);
-    if (kept.host == kNoHost) return LookAgain(id, live);
-    if (kept.host == kAllFull || !TakenOn(live, kept)) return End(id, live);
+    const Ranked kept = selector_.Choose(live);
+    if (kept.host == kNoHost) return SampleLater(id, live);
+    if (kept.host == kAllFull || !Admitted(live, kept)) return End(id, live);
     SendTo(id, live, kept);
   }
 
   // In a large tier an instance sees too little of each host to predict its answers: there the pace decides,
   // from all that it sees. The share of a cold host is sent in any case: it is little, and warms the host up.
-  bool TakenOn(const Live& live, const Ranked& kept) {
+  bool Admitted(const Live& live, const Ranked& kept) {
     if (!ctx_.LargeTier()) return admission_.InTime(live, kept);
     if (live.Count() > 0 || hosts_.Warmth(hosts_[kept.host]) < 1) return true;
     return pace_.Admits(live.request.klass, ctx_.random.Unit());
@@ -206,14 +208,14 @@
 
   // No host was chosen: sample again soon, then less and less often. A request that all hosts have passed
   // over, or that no host accepted in half its time, is ended while the client can still act on that.
-  void LookAgain(RequestId id, Live& live) {
-    ++live.looks;
+  void SampleLater(RequestId id, Live& live) {
+    ++live.draws;
     live.sample.clear();
     live.gathering = true;
     const double left = std::max(live.half_at, ctx_.now) - ctx_.now;
-    live.hold_until = ctx_.now + std::max(ctx_.set.tick_ms, live.looks < kLooksMax ? 0 : left / 4);
-    const bool hope = hosts_.live().empty() || live.barred.size() < hosts_.live().size() ||
-                      !std::ranges::all_of(hosts_.live(), [&](int i) { return live.Barred(i); });
+    live.hold_until = ctx_.now + std::max(ctx_.set.tick_ms, live.draws < kQuickDraws ? 0 : left / 4);
+    const bool hope = hosts_.live().empty() || live.excluded.size() < hosts_.live().size() ||
+                      !std::ranges::all_of(hosts_.live(), [&](int i) { return live.Excluded(i); });
     if (!hope || live.hold_until >= live.half_at) return End(id, live);
     sink_.SetTimer(live.hold_until, Token(id, kHoldTimer));
   }
@@ -223,51 +225,49 @@
     const double repeat_by = attempts_.RepeatBy(live);
     live.attempts.push_back({kept.host, ctx_.now, kept.figure, true, true});
     health_.Sent(host, estimates_.Expected(live.request.klass, host, kept.figure, live.share));
-    ++host.held;
+    ++host.open_attempts;
     reports_.CountOwn(host, 1);
-    live.attempts.back().late_at = ctx_.now + kCutAfter * host.expected_ms;
+    live.attempts.back().late_at = ctx_.now + kCutAfterTimes * host.expected_ms;
     sink_.SetTimer(live.attempts.back().late_at, Token(id, kLateTimer));
     if (ctx_.LargeTier()) sink_.SetTimer(ctx_.now + admission_.SlowAfter(live), Token(id, kSlowTimer));
-    live.barred.push_back(kept.host);
-    live.looks = 0;
+    live.excluded.push_back(kept.host);
+    live.draws = 0;
     sink_.Send(id, host.entry.host, attempts_.AttemptEnd(live, host.expected_ms), repeat_by);
   }
 
-  // The attempt is no longer in flight.
-  void Return(const Attempt& attempt) {
+  void ReleaseAttempt(const Attempt& attempt) {
     if (attempt.late) reports_.CountLate(hosts_[attempt.host], -1);
     reports_.CountOwn(hosts_[attempt.host], -1);
   }
 
   // Updates health and time estimates from an outcome.
-  void Judge(const Live& live, const Attempt& tried, Outcome outcome, double took) {
+  void Learn(const Live& live, const Attempt& tried, Outcome outcome, double took) {
     Host& host = hosts_[tried.host];
     const int klass = live.request.klass;
     const bool heard = outcome == Outcome::kServed || outcome == Outcome::kError ||
                        outcome == Outcome::kRefusedByHost || outcome == Outcome::kConnectionLost;
     if (heard) health_.Heard(host);
-    if (heard || outcome == Outcome::kConnectFailed) host.unreached = !heard;
+    if (heard || outcome == Outcome::kConnectFailed) host.connect_failed = !heard;
     switch (outcome) {
       case Outcome::kServed:
         ctx_.comeback.Answered(ctx_.now, host.entry.host);
         reports_.Served(host);
-        health_.Weigh(host, false);
+        health_.RecordOutcome(host, false);
         if (!tried.slow && hosts_.Warmth(host) >= 1) pace_.Heard(took > admission_.SlowAfter(live));
         estimates_.LearnTypical(klass, took);
         return estimates_.LearnTime(klass, host, tried.figure, live.share, took);
       case Outcome::kTimeout:
-        // A timed-out attempt would have taken longer still; with its bare time the fit could never expect a
-        // time-out. But a host silent all the while, or an answer lost while others arrived, says nothing
-        // about answer times.
+        // It would have taken longer still: with its bare time the fit could never expect a time-out. But a
+        // host silent all the while, or an answer lost while others came, says nothing of answer times.
         if (host.waiting_since <= tried.sent_at || tried.late)
-          return health_.Weigh(host, true, host.waiting_since <= tried.sent_at);
-        return estimates_.LearnTime(klass, host, tried.figure, live.share, kCutFactor * took);
+          return health_.RecordOutcome(host, true, host.waiting_since <= tried.sent_at);
+        return estimates_.LearnTime(klass, host, tried.figure, live.share, kTimeoutFactor * took);
       case Outcome::kError:
       case Outcome::kConnectFailed:
       case Outcome::kConnectionLost:
-        return health_.Weigh(host, true);
+        return health_.RecordOutcome(host, true);
       case Outcome::kRefusedByHost:
-        return health_.SetAside(host);
+        return health_.Pause(host);
       case Outcome::kCancelled:
       case Outcome::kNotSent:
         return;
@@ -284,16 +284,16 @@
     for (const Attempt& attempt : live.attempts) {
       Host& host = hosts_[attempt.host];
       if (attempt.pending && health_.Silent(host))
-        health_.Weigh(host, true);  // else its silence would be forgotten with the request
-      if (attempt.pending) Return(attempt);
-      --host.held;
+        health_.RecordOutcome(host, true);  // else its silence would be forgotten with the request
+      if (attempt.pending) ReleaseAttempt(attempt);
+      --host.open_attempts;
     }
     requests_.erase(id);
   }
 
   void End(RequestId id, const Live& live) {
     CancelPending(id, live);
-    attempts_.MayRefuse(live) ? sink_.Refuse(id, admission_.ComeBack(live.request.klass)) : sink_.Fail(id);
+    attempts_.MayRefuse(live) ? sink_.Refuse(id, admission_.RetryDelay(live.request.klass)) : sink_.Fail(id);
     Forget(id, live);
   }
 
@@ -304,7 +304,7 @@
   Health health_{ctx_, estimates_};
   Attempts attempts_{ctx_, hosts_};
   Reports reports_{ctx_, hosts_, estimates_, sink_};
-  Walk walk_{ctx_, hosts_, estimates_, reports_};
+  HostSelector selector_{ctx_, hosts_, estimates_, reports_};
   Admission admission_{ctx_, hosts_, estimates_};
   Pace pace_{ctx_.Worths()};
   SpareMap<RequestId, Live> requests_;
--- a/src/cartspring/records.h
+++ b/src/cartspring/records.h
@@ -16,35 +16,37 @@
   HostEntry entry;
   int row = 0;  // its index in the table
   bool listed = true;
-  double place = 0;  // position in this instance's own order of all hosts, by HostTable
-  int held = 0;      // by the event handlers: attempts of open requests, finished ones included
+  double place = 0;       // position in this instance's own order of all hosts, by HostTable
+  int open_attempts = 0;  // by the event handlers: attempts of open requests, finished ones included
   // By Reports.
   double load = -1;  // last reported; -1: never
   double load_at = 0;
-  double others = 0;        // the part of it that was not this instance's own
-  double usual = 0;         // decaying mean of `others` over reports, used once the last report is old
-  int own = 0;              // own attempts in flight
-  int late = 0;             // of these, the late ones
-  double own_mean = 0;      // decaying mean of own - late
-  double own_at = 0;        // time of its last update
-  double linked_until = 0;  // until when an idle connection to the host stays open
+  double others = 0;      // the part of it that was not this instance's own
+  double usual = 0;       // decaying mean of `others` over reports, used once the last report is old
+  int own = 0;            // own attempts in flight
+  int late = 0;           // of these, the late ones
+  double own_mean = 0;    // decaying mean of own - late
+  double own_at = 0;      // time of its last update
+  double idle_until = 0;  // until when an idle connection to the host stays open
   bool probe_out = false;
   std::vector<RequestId> waiters;
   // By Health.
   double waiting_since = 0;  // since when an own attempt is in flight without any sign of the host
   double expected_ms = 0;    // expected time of the attempt sent last
-  double doubt = 0;          // log odds that the host is failing
-  int set_asides = 0;        // since its last answer
-  double out_until = 0;
-  bool unreached = false;  // the last connection attempt failed and nothing was heard since
+  double log_odds = 0;       // log odds that the host is failing
+  int pauses = 0;            // since its last answer
+  double paused_until = 0;
+  bool connect_failed = false;  // the last connection attempt failed and nothing was heard since
   // By Estimates.
   double slow_log = 0;  // log of its time relative to its kind, when last updated
   double slow_at = 0;
 
   const std::string& Name() const { return entry.host; }
   bool Live() const { return entry.state == HostState::kLive; }
-  int Working() const { return own - late; }
-  bool InUse() const { return entry.state != HostState::kGone || held != 0 || probe_out || !waiters.empty(); }
+  int CurrentOwn() const { return own - late; }
+  bool InUse() const {
+    return entry.state != HostState::kGone || open_attempts != 0 || probe_out || !waiters.empty();
+  }
 };
 
 struct Attempt {
@@ -60,21 +62,21 @@
 
 struct Live {
   Request request;
-  double aim_at = 0;
+  double target_at = 0;
   double end_at = 0;
   double half_at = 0;  // a request not sent by then is ended
   bool first = true;   // the client's first try, as far as can be determined
   double share = 1;    // work relative to its class's mean, by the client's hint
   std::vector<Attempt> attempts;
   std::vector<int> sample;
-  std::vector<int> barred;  // hosts that this request tried, or skipped for being cold
-  double considered = 1;    // probability that a given host is in the sample
-  double looked_at = 0;
+  std::vector<int> excluded;  // hosts that this request tried, or skipped for being cold
+  double sample_chance = 1;   // probability that a given host is in the sample
+  double sampled_at = 0;
   double hold_until = 0;
   int reports_due = 0;
-  int looks = 0;
+  int draws = 0;
   bool gathering = false;
-  bool begun = false;
+  bool stream_begun = false;
 
   int Count() const { return static_cast<int>(attempts.size()); }
   bool Pending() const {
@@ -91,11 +93,13 @@
     };
     keep(fresh.attempts, attempts);
     keep(fresh.sample, sample);
-    keep(fresh.barred, barred);
+    keep(fresh.excluded, excluded);
     *this = std::move(fresh);
   }
   bool Sampled(int host) const { return std::find(sample.begin(), sample.end(), host) != sample.end(); }
-  bool Barred(int host) const { return std::find(barred.begin(), barred.end(), host) != barred.end(); }
+  bool Excluded(int host) const {
+    return std::find(excluded.begin(), excluded.end(), host) != excluded.end();
+  }
 };
 
 // A host in the ranking of HostSelector.
--- a/src/cartspring/time_shape.h
+++ b/src/cartspring/time_shape.h
@@ -5,15 +5,16 @@
 
 #include <algorithm>
 
-#include "cartspring/fading_line.h"
+#include "cartspring/decaying_line.h"
 
 namespace cartspring {
 
-constexpr double kFirstOffset = 4;    // initial figure at which a host takes twice its unloaded time
-constexpr double kOffsetLeast = 0.5;  // bounds of the learned value
-constexpr double kOffsetMost = 16;
-constexpr double kShapeFade = 0.98;    // factor on past outcomes at each new one
-constexpr double kShapeSpread = 0.01;  // least squared variation of the figures seen that determines a slope
+constexpr double kInitialOffset = 4;  // initial figure at which a host takes twice its unloaded time
+constexpr double kMinOffset = 0.5;    // bounds of the learned value
+constexpr double kMaxOffset = 16;
+constexpr double kShapeDecay = 0.98;  // factor on past outcomes at each new one
+constexpr double kMinFigureVariation =
+    0.01;  // least squared variation of the figures seen that determines a slope
 
 // How the time of an attempt grows with its host's figure: in proportion to figure + offset, normalised to 1
 // at the mean of the figures seen. The offset comes from a line fitted with decay to this instance's own
@@ -24,12 +25,12 @@
   TimeShape() {
     constexpr double kMean = (1.0 + 5.0 + 20.0) / 3;
     for (const double figure : {1.0, 5.0, 20.0})
-      Add(figure, (figure + kFirstOffset) / (kMean + kFirstOffset));
+      Add(figure, (figure + kInitialOffset) / (kMean + kInitialOffset));
   }
   void Add(double figure, double time) {
     line_.Add(figure, time);
-    if (!line_.Sloped(kShapeSpread)) return;  // equal figures determine no slope, only noise
-    offset_ = line_.Slope() > 0 ? std::clamp(line_.Offset(), kOffsetLeast, kOffsetMost) : kOffsetMost;
+    if (!line_.HasSlope(kMinFigureVariation)) return;  // equal figures determine no slope, only noise
+    offset_ = line_.Slope() > 0 ? std::clamp(line_.Offset(), kMinOffset, kMaxOffset) : kMaxOffset;
   }
   // `share`: the request's work relative to its class's mean, where clients hint at it.
   double At(double figure, double share) const { return (figure + offset_ * share) * Slope(); }
@@ -37,8 +38,8 @@
   double Slope() const { return 1 / (line_.MeanX() + offset_); }
 
  private:
-  FadingLine line_{kShapeFade};
-  double offset_ = kFirstOffset;
+  DecayingLine line_{kShapeDecay};
+  double offset_ = kInitialOffset;
 };
 
 }  // namespace cartspring
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -37,10 +37,10 @@
   bool WasRead(const std::string& field) const { return read_.count(field) > 0; }
 
  private:
-  void StandIn(std::string_view field, std::string_view value) const override {
+  void OnDefaultUsed(std::string_view field, std::string_view value) const override {
     Note(field, std::string(value), "default");
   }
-  void StandIn(std::string_view field, double value) const override {
+  void OnDefaultUsed(std::string_view field, double value) const override {
     Note(field, schema::ShowNumber(value), "default");
   }
   void Note(std::string_view field, std::string value, const char* origin) const {
--- a/tests/cartspring/steps_test.cpp
+++ b/tests/cartspring/steps_test.cpp
@@ -13,8 +13,8 @@
   for (int day = 0; day < 50; ++day) {
     HostEntry entry;
     entry.host = "host-" + std::to_string(day);
-    hosts.Take({entry}, true);
-    if (day == 0) hosts[hosts.RowOf("host-0")].held = 1;  // an attempt whose request is not over
+    hosts.Update({entry}, true);
+    if (day == 0) hosts[hosts.RowOf("host-0")].open_attempts = 1;  // an attempt whose request is not over
   }
   EXPECT_EQ(hosts[hosts.RowOf("host-0")].entry.host, "host-0");
   EXPECT_LE(hosts.size(), 3);  // the one that is held, the one before and the one that takes its place
@@ -26,10 +26,10 @@
   Health health(ctx, estimates);
   Host host;
   for (int pause = 0; pause < 20; ++pause) {
-    ctx.now = host.out_until + 1;
-    health.SetAside(host);
-    EXPECT_GT(host.out_until, ctx.now);
-    EXPECT_LE(host.out_until - ctx.now, 1.5 * ctx.set.classes[kSafeClass].deadline_ms);
+    ctx.now = host.paused_until + 1;
+    health.Pause(host);
+    EXPECT_GT(host.paused_until, ctx.now);
+    EXPECT_LE(host.paused_until - ctx.now, 1.5 * ctx.set.classes[kSafeClass].deadline_ms);
   }
 }
 
@@ -43,7 +43,7 @@
     return estimates.PerFigure(kSafeClass, slow) / estimates.PerFigure(kSafeClass, other);
   };
   EXPECT_GT(ratio(), 2);
-  EXPECT_LE(ratio(), kSlowMost);
+  EXPECT_LE(ratio(), kMaxSlowness);
   ctx.now += 20 * ctx.set.warm_within_ms;
   EXPECT_NEAR(ratio(), 1, 1e-6);
 }
@@ -63,7 +63,7 @@
   Context ctx{TestSettings(), Random(1)};
   Estimates estimates(ctx);
   HostTable hosts(ctx);
-  hosts.Take(TestHosts(2), true);
+  hosts.Update(TestHosts(2), true);
   const double before = estimates.Expected(kSafeClass, hosts[0], 1, 1);
   estimates.LearnTime(kSafeClass, hosts[0], 1, 1, /*took=*/0.1);
   EXPECT_GT(estimates.Expected(kSafeClass, hosts[1], 1, 1), before / 2);
@@ -77,18 +77,18 @@
     const Estimates estimates(ctx);
     Health health(ctx, estimates);
     HostTable hosts(ctx);
-    hosts.Take(TestHosts(20), true);
+    hosts.Update(TestHosts(20), true);
     for (int i = 0; i < 8; ++i) {
-      while (hosts[i].doubt <= 0) health.Weigh(hosts[i], /*failed=*/true);
-      hosts[i].out_until = 0;
+      while (hosts[i].log_odds <= 0) health.RecordOutcome(hosts[i], /*failed=*/true);
+      hosts[i].paused_until = 0;
     }
     int looks = 0;
     for (int request = 0; request < 500; ++request) {
-      health.Earn();
+      health.EarnToken();
       ctx.now += 60;
       const auto ready = health.Ready(hosts, /*safe=*/true);
       for (const int row : hosts.live()) {
-        if (hosts[row].doubt <= 0 || !ready(hosts[row])) continue;
+        if (hosts[row].log_odds <= 0 || !ready(hosts[row])) continue;
         ++looks;
         health.Sent(hosts[row], 20);
         break;
@@ -104,11 +104,11 @@
   std::vector<int> ready, all;
   std::size_t well = 0;
   for (const int i : hosts.live()) {
-    const bool out = ctx.now < hosts[i].out_until;
-    if (!hosts[i].unreached || !out) all.push_back(i);
+    const bool out = ctx.now < hosts[i].paused_until;
+    if (!hosts[i].connect_failed || !out) all.push_back(i);
     if (out || health.Silent(hosts[i])) continue;
-    well += hosts[i].doubt <= 0;
-    if (hosts[i].doubt <= 0 || hosts[i].own == 0) ready.push_back(i);
+    well += hosts[i].log_odds <= 0;
+    if (hosts[i].log_odds <= 0 || hosts[i].own == 0) ready.push_back(i);
   }
   return 2 * well < hosts.live().size() && !all.empty() ? all : ready;
 }
@@ -120,7 +120,7 @@
   HostTable hosts(ctx);
   int blind = 0;
   for (int step = 0; step < 20000; ++step) {
-    if (step % 50 == 0) hosts.Take(TestHosts(3 + static_cast<int>(ctx.random.Below(7))), true);
+    if (step % 50 == 0) hosts.Update(TestHosts(3 + static_cast<int>(ctx.random.Below(7))), true);
     ctx.now += 20 * ctx.random.Unit();
     Host& host = hosts[static_cast<int>(ctx.random.Below(static_cast<std::size_t>(hosts.size())))];
     if (ctx.random.Below(2) == 0) {
@@ -128,9 +128,9 @@
       ++host.own;
     } else if (host.own > 0) {
       --host.own;
-      health.Weigh(host, host.unreached = ctx.random.Below(2 + step / 2000 % 4) == 0);
+      health.RecordOutcome(host, host.connect_failed = ctx.random.Below(2 + step / 2000 % 4) == 0);
     } else if (ctx.random.Below(4) == 0) {
-      health.Weigh(host, true);  // a probe had no answer
+      health.RecordOutcome(host, true);  // a probe had no answer
     }
     const auto ready = health.Ready(hosts, /*safe=*/true);
     std::vector<int> told;
@@ -140,7 +140,7 @@
     const auto unfit = [&](int i) { return hosts[i].Live() && (i == host.row || !ready(hosts[i])); };
     ASSERT_EQ(std::ssize(hosts.live()) - health.watched().CountIf(unfit, {host.row}),
               std::ssize(by_hand) - std::ranges::count(by_hand, host.row));
-    blind += std::ranges::any_of(told, [&](int i) { return ctx.now < hosts[i].out_until; });
+    blind += std::ranges::any_of(told, [&](int i) { return ctx.now < hosts[i].paused_until; });
   }
   EXPECT_GT(blind, 100);
 }
--- a/tests/cartspring/walk_test.cpp
+++ b/tests/cartspring/walk_test.cpp
@@ -31,7 +31,7 @@
   return bed.out.sends.back().host;
 }
 
-TEST(Walk, HostsAreKeptInOrderOfLoadEachPassedOverWithOneFixedChance) {
+TEST(HostSelector, HostsAreKeptInOrderOfLoadEachPassedOverWithOneFixedChance) {
   Bed bed(ProbeSettings());
   bed.Hosts(TestHosts(3));
   std::map<std::string, int> kept;
@@ -43,7 +43,7 @@
   EXPECT_NEAR(kept["c"] / double(requests), 0.009 / 0.999, 0.004);
 }
 
-TEST(Walk, TheChanceDoesNotDependOnTheFigure) {
+TEST(HostSelector, TheChanceDoesNotDependOnTheFigure) {
   for (const double worse : {2.0, 12.0}) {
     Bed bed(ProbeSettings());
     bed.Hosts(TestHosts(2));
@@ -53,7 +53,7 @@
   }
 }
 
-TEST(Walk, TiesAreInRandomOrder) {
+TEST(HostSelector, TiesAreInRandomOrder) {
   Bed bed(ProbeSettings());
   bed.Hosts(TestHosts(4));
   std::map<std::string, int> kept;
@@ -62,13 +62,13 @@
   EXPECT_EQ(kept.size(), 4u);
 }
 
-TEST(Walk, OneHostIsAlwaysKept) {
+TEST(HostSelector, OneHostIsAlwaysKept) {
   Bed bed(ProbeSettings());
   bed.Hosts(TestHosts(1));
   for (int i = 0; i < 2000; ++i) EXPECT_EQ(Decide(bed, {{"a", 3}}), "a");
 }
 
-TEST(Walk, SizeDividesTheLoadWhereWeightsStandForIt) {
+TEST(HostSelector, SizeDividesTheLoadWhereWeightsStandForIt) {
   for (const bool known : {false, true}) {
     Settings settings = ProbeSettings();
     settings.weights_known = known;
@@ -82,7 +82,7 @@
   }
 }
 
-TEST(Walk, QueueRanksWhereNoInFlightIsReported) {
+TEST(HostSelector, QueueRanksWhereNoInFlightIsReported) {
   Bed bed(ProbeSettings());
   bed.Hosts(TestHosts(2));
   int kept = 0;
@@ -99,7 +99,7 @@
   EXPECT_GT(kept, 850);
 }
 
-TEST(Walk, WithoutAnyReportTheRequestStillGoesOutAfterTheHold) {
+TEST(HostSelector, WithoutAnyReportTheRequestStillGoesOutAfterTheHold) {
   Bed bed(ProbeSettings());
   bed.Hosts(TestHosts(3));
   bed.Request(kSafeClass);
@@ -108,7 +108,7 @@
   EXPECT_EQ(bed.out.sends.size(), 1u);
 }
 
-TEST(Walk, AHostWhoseProbeDoesNotAnswerIsNotRankedBesideOthersThatDo) {
+TEST(HostSelector, AHostWhoseProbeDoesNotAnswerIsNotRankedBesideOthersThatDo) {
   Bed bed(ProbeSettings());
   bed.Hosts(TestHosts(3));
   for (int i = 0; i < 50; ++i) {
@@ -126,7 +126,7 @@
   }
 }
 
-TEST(Walk, OwnSendsSinceTheReportCount) {
+TEST(HostSelector, OwnSendsSinceTheReportCount) {
   // Reports come with answers only: between two reports the own sends must spread.
   Bed bed(TestSettings());
   bed.Hosts(TestHosts(4));
@@ -138,7 +138,7 @@
   for (const auto& [host, count] : kept) EXPECT_NEAR(count, 5, 2) << host;
 }
 
-TEST(Walk, WithoutReportsOrProbesOwnSendsAloneSpreadTheLoad) {
+TEST(HostSelector, WithoutReportsOrProbesOwnSendsAloneSpreadTheLoad) {
   Settings settings = TestSettings();
   settings.reporting = Reporting::kNone;
   settings.may_probe = false;
@@ -153,7 +153,7 @@
   for (const auto& [host, count] : kept) EXPECT_NEAR(count, 5, 2) << host;
 }
 
-TEST(Walk, ProbesNeverGoOutWhereTheyAreNotAllowed) {
+TEST(HostSelector, ProbesNeverGoOutWhereTheyAreNotAllowed) {
   Settings settings = ProbeSettings();
   settings.may_probe = false;
   Bed bed(settings);
@@ -163,7 +163,7 @@
   EXPECT_EQ(bed.out.sends.size(), 12u);
 }
 
-TEST(Walk, ThePriceOfProbesBoundsTheSample) {
+TEST(HostSelector, ThePriceOfProbesBoundsTheSample) {
   for (const auto& [price, probes] :
        std::map<double, std::size_t>{{0.001, 5}, {0.004, 3}, {0.008, 2}, {0.5, 2}}) {
     Settings settings = ProbeSettings();
@@ -175,7 +175,7 @@
   }
 }
 
-TEST(Walk, HalfOfTheSampleHasAnIdleConnectionWhereThereAreSuch) {
+TEST(HostSelector, HalfOfTheSampleHasAnIdleConnectionWhereThereAreSuch) {
   Settings settings = ProbeSettings();
   settings.connection_idle_ms = 100000;
   Bed bed(settings);
