--- a/src/cartspring/beliefs.h
+++ b/src/cartspring/beliefs.h
@@ -44,7 +44,7 @@
 
   int strictest() const { return strictest_; }  // the class with the shortest target latency
   double Typical(int klass) const { return learned_[klass].typical_ms; }
-  double UsualAnswer() const { return Typical(strictest_); }
+  double TypicalAnswer() const { return Typical(strictest_); }
   double PerFigure(int klass) const { return learned_[klass].per_figure; }
 
   // Time per unit of figure on the host's kind of machine: kinds suit classes differently, and where the list
@@ -52,7 +52,7 @@
   double PerFigure(int klass, const Host& host) const {
     const Learned& learned = learned_[klass];
     const double known = ValueAt(learned.on_kind, host.entry.kind);
-    return (known > 0 ? known : learned.per_figure) * Slower(host);
+    return (known > 0 ? known : learned.per_figure) * Slowness(host);
   }
   // Expected time of the complete attempt, and the part of it that is due to the figure.
   double Expected(int klass, const Host& host, double figure, double share) const {
@@ -76,7 +76,7 @@
     if (on_kind <= 0)
       on_kind = std::clamp(level, learned.per_figure / kGuessTolerance, learned.per_figure * kGuessTolerance);
     const double slower = std::clamp(level / on_kind, 1 / kMaxSlowness, kMaxSlowness);
-    const double usual = took / Slower(host);  // had the host been as fast as its kind
+    const double usual = took / Slowness(host);  // had the host been as fast as its kind
     host.slow_log = SlowLog(host) * (1 - kSlownessWeight) + std::log(slower) * kSlownessWeight;
     host.slow_at = ctx_.now;
     shape_.Add(figure, std::min(usual / on_kind, kMaxOutcomeRatio * shape) - shape_.Offset() * (share - 1));
@@ -101,7 +101,7 @@
   }
 
   // Never below 1: hosts that were tried would otherwise look faster than those that were not.
-  double Slower(const Host& host) const { return host.slow_log > 0 ? std::exp(SlowLog(host)) : 1; }
+  double Slowness(const Host& host) const { return host.slow_log > 0 ? std::exp(SlowLog(host)) : 1; }
 
   const Context& ctx_;
   std::vector<Learned> learned_;  // by class
@@ -142,7 +142,7 @@
   void Pause(Host& host) {
     watched_.Add(host.row);
     if (ctx_.now < host.paused_until) return;
-    const double pause = std::min(ctx_.LongestDeadline(), kFirstPauseTimes * estimates_.UsualAnswer() *
+    const double pause = std::min(ctx_.LongestDeadline(), kFirstPauseTimes * estimates_.TypicalAnswer() *
                                                               (1 << std::min(host.pauses, 8)));
     host.paused_until = ctx_.now + pause * (0.5 + ctx_.random.Unit());
     ++host.pauses;
@@ -159,9 +159,9 @@
   auto Ready(const HostTable& hosts, bool safe) {
     watched_.EraseIf([&](int i) { return hosts[i].own == 0 && hosts[i].log_odds <= 0 && !Paused(hosts[i]); });
     const std::ptrdiff_t all = std::ssize(hosts.live());
-    const auto ill = watched_.CountIf([&](int i) { return hosts[i].Live() && Unhealthy(hosts[i]); });
+    const auto unhealthy = watched_.CountIf([&](int i) { return hosts[i].Live() && Unhealthy(hosts[i]); });
     const auto lost = watched_.CountIf([&](int i) { return hosts[i].Live() && Unreachable(hosts[i]); });
-    return [this, safe, blind = 2 * (all - ill) < all && lost < all](const Host& host) {
+    return [this, safe, blind = 2 * (all - unhealthy) < all && lost < all](const Host& host) {
       if (blind) return !Unreachable(host);
       // After its pause, a host gets one attempt at a time, of a request that may run again if there are any,
       // until its answers clear it.
--- a/src/cartspring/check.cpp
+++ b/src/cartspring/check.cpp
@@ -4,8 +4,8 @@
 
 namespace cartspring {
 
-void Check(bool good, const char* message) {
-  if (!good) throw std::invalid_argument(message);
+void Check(bool ok, const char* message) {
+  if (!ok) throw std::invalid_argument(message);
 }
 
 void CheckSettings(const Settings& s) {
--- a/src/cartspring/check.h
+++ b/src/cartspring/check.h
@@ -6,7 +6,7 @@
 
 namespace cartspring {
 
-void Check(bool good, const char* message);    // throws with `message` unless `good`
+void Check(bool ok, const char* message);      // throws with `message` unless `ok`
 void CheckSettings(const Settings& settings);  // throws at the first invalid value
 
 }  // namespace cartspring
--- a/src/cartspring/context.h
+++ b/src/cartspring/context.h
@@ -21,7 +21,7 @@
 // limits on counts have no effect, and the instance sees little of any host.
 constexpr int kMaxSmallTier = 6;
 
-// splitmix64: small, seeded and portable. The standard library's distributions differ
+// splitmix64: small, seeded and portable. The distributions of the standard library differ
 // between implementations.
 class Random {
  public:
@@ -54,8 +54,8 @@
   double now = 0;  // ms
   Comeback comeback{set};
 
-  // Retired classes are left out of the next two.
-  int StrictestClass() const {  // the class with the shortest target latency, the first of equals
+  // The next two functions leave out retired classes.
+  int StrictestClass() const {  // the one with the shortest target latency, the first of equals
     int best = -1;
     for (std::size_t i = 0; i < set.classes.size(); ++i) {
       if (set.classes[i].retired) continue;
@@ -64,7 +64,7 @@
     }
     return std::max(0, best);
   }
-  double LongestDeadline() const {
+  double LongestDeadline() const {  // of all classes in use
     double longest = 0;
     for (const RequestClass& klass : set.classes) {
       if (!klass.retired) longest = std::max(longest, klass.deadline_ms);
--- a/src/cartspring/host_selector.h
+++ b/src/cartspring/host_selector.h
@@ -76,11 +76,11 @@
   double Distance(const Host& host, const Live& live) const {
     const Settings& set = ctx_.set;
     const RequestClass& klass = ctx_.ClassOf(live.request);
-    const double contact = klass.effect == Effect::kSafe ? 1 : kUnsafeFactor;
-    const double link = reports_.HasIdleConnection(host) ? 0 : contact * set.handshake_price * klass.aim_ms;
-    if (host.entry.zone == set.own_zone) return link;
-    const double way = std::max(0.0, reports_.Rtt(host.entry.zone) - reports_.Rtt(set.own_zone));
-    return link + way + set.cross_zone_price * klass.aim_ms;
+    const double factor = klass.effect == Effect::kSafe ? 1 : kUnsafeFactor;
+    const double setup = reports_.HasIdleConnection(host) ? 0 : factor * set.handshake_price * klass.aim_ms;
+    if (host.entry.zone == set.own_zone) return setup;
+    const double zone_delay = std::max(0.0, reports_.Rtt(host.entry.zone) - reports_.Rtt(set.own_zone));
+    return setup + zone_delay + set.cross_zone_price * klass.aim_ms;
   }
 
   bool AcceptsColdHost(Live& live, int i) {
@@ -114,12 +114,12 @@
   // began a deadline before its end.
   double TargetTimeOf(Live& live) {
     const RequestClass& klass = ctx_.ClassOf(live.request);
-    ClassStats& seen = class_stats_[live.request.klass];
+    ClassStats& stats = class_stats_[live.request.klass];
     const double give_up = live.request.give_up_ms, budget = give_up - ctx_.now,
                  off = kFirstTryTolerance * klass.deadline_ms + 2 * ctx_.set.tick_ms;
-    if (seen.first_tries < kOtherTryWeight) seen.first_try_ms = budget;
-    live.first = std::abs(budget - seen.first_try_ms) <= off;
-    seen.first_tries = std::min(kMaxFirstTries, seen.first_tries + (live.first ? 1 : -kOtherTryWeight));
+    if (stats.first_tries < kOtherTryWeight) stats.first_try_ms = budget;
+    live.first = std::abs(budget - stats.first_try_ms) <= off;
+    stats.first_tries = std::min(kMaxFirstTries, stats.first_tries + (live.first ? 1 : -kOtherTryWeight));
     const double began = live.first ? ctx_.now : std::min(ctx_.now, give_up - klass.deadline_ms);
     return std::min(began + klass.aim_ms + klass.aim_stretch * live.request.work_hint_ms, give_up);
   }
--- a/src/cartspring/hosts.h
+++ b/src/cartspring/hosts.h
@@ -14,7 +14,7 @@
 namespace cartspring {
 
 constexpr double kMinLogOdds = -3.5;  // log odds that a host is failing, with a clean record
-constexpr double kOwnZoneFactor = 3;  // preference for hosts of the own zone when sampling
+constexpr double kOwnZoneFactor = 3;  // a host of the own zone is this many times as likely to be sampled
 constexpr std::uint64_t kDiscoveryTimer = ~std::uint64_t{0} >> 1;
 
 class HostTable {
--- a/src/cartspring/policy.h
+++ b/src/cartspring/policy.h
@@ -64,7 +64,7 @@
     // Without late worth a request is worth nothing past its target: ending it then frees the host.
     live.end_at = ctx_.ClassOf(request).late_worth > 0 ? request.give_up_ms
                                                        : std::min(request.give_up_ms, live.target_at);
-    live.half_at = (ctx_.now + request.give_up_ms) / 2 - ctx_.set.tick_ms;
+    live.halfway_at = (ctx_.now + request.give_up_ms) / 2 - ctx_.set.tick_ms;
     sink_.SetTimer(std::max(attempts_.LastBatchTime(live), ctx_.now), Token(request.id, kEndTimer));
     if (attempts_.LastBatchTime(live) <= ctx_.now) return;  // the timer ends it in the next batch
     Gather(request.id, live);
@@ -212,11 +212,11 @@
     ++live.draws;
     live.sample.clear();
     live.gathering = true;
-    const double left = std::max(live.half_at, ctx_.now) - ctx_.now;
+    const double left = std::max(live.halfway_at, ctx_.now) - ctx_.now;
     live.hold_until = ctx_.now + std::max(ctx_.set.tick_ms, live.draws < kQuickDraws ? 0 : left / 4);
-    const bool hope = hosts_.live().empty() || live.excluded.size() < hosts_.live().size() ||
-                      !std::ranges::all_of(hosts_.live(), [&](int i) { return live.Excluded(i); });
-    if (!hope || live.hold_until >= live.half_at) return End(id, live);
+    const bool may_find_host = hosts_.live().empty() || live.excluded.size() < hosts_.live().size() ||
+                               !std::ranges::all_of(hosts_.live(), [&](int i) { return live.Excluded(i); });
+    if (!may_find_host || live.hold_until >= live.halfway_at) return End(id, live);
     sink_.SetTimer(live.hold_until, Token(id, kHoldTimer));
   }
 
@@ -244,10 +244,10 @@
   void Learn(const Live& live, const Attempt& tried, Outcome outcome, double took) {
     Host& host = hosts_[tried.host];
     const int klass = live.request.klass;
-    const bool heard = outcome == Outcome::kServed || outcome == Outcome::kError ||
-                       outcome == Outcome::kRefusedByHost || outcome == Outcome::kConnectionLost;
-    if (heard) health_.Heard(host);
-    if (heard || outcome == Outcome::kConnectFailed) host.connect_failed = !heard;
+    const bool responded = outcome == Outcome::kServed || outcome == Outcome::kError ||
+                           outcome == Outcome::kRefusedByHost || outcome == Outcome::kConnectionLost;
+    if (responded) health_.Heard(host);
+    if (responded || outcome == Outcome::kConnectFailed) host.connect_failed = !responded;
     switch (outcome) {
       case Outcome::kServed:
         ctx_.comeback.Answered(ctx_.now, host.entry.host);
--- a/src/cartspring/records.h
+++ b/src/cartspring/records.h
@@ -31,12 +31,12 @@
   bool probe_out = false;
   std::vector<RequestId> waiters;
   // By Health.
-  double waiting_since = 0;  // since when an own attempt is in flight without any sign of the host
-  double expected_ms = 0;    // expected time of the attempt sent last
-  double log_odds = 0;       // log odds that the host is failing
-  int pauses = 0;            // since its last answer
-  double paused_until = 0;
-  bool connect_failed = false;  // the last connection attempt failed and nothing was heard since
+  double waiting_since = 0;     // since when an own attempt is in flight without any sign of the host
+  double expected_ms = 0;       // expected time of the attempt sent last
+  double log_odds = 0;          // log odds that the host is failing
+  int pauses = 0;               // since its last answer
+  double paused_until = 0;      // end of its latest pause
+  bool connect_failed = false;  // the last attempt could not connect, and nothing was heard since
   // By Estimates.
   double slow_log = 0;  // log of its time relative to its kind, when last updated
   double slow_at = 0;
@@ -62,20 +62,20 @@
 
 struct Live {
   Request request;
-  double target_at = 0;
-  double end_at = 0;
-  double half_at = 0;  // a request not sent by then is ended
-  bool first = true;   // the client's first try, as far as can be determined
-  double share = 1;    // work relative to its class's mean, by the client's hint
+  double target_at = 0;   // when the answer is wanted
+  double end_at = 0;      // when the request is ended
+  double halfway_at = 0;  // a request not sent by then is ended
+  bool first = true;      // the client's first try, as far as can be determined
+  double share = 1;       // work relative to its class's mean, by the client's hint
   std::vector<Attempt> attempts;
-  std::vector<int> sample;
+  std::vector<int> sample;    // rows of the hosts to choose from
   std::vector<int> excluded;  // hosts that this request tried, or skipped for being cold
   double sample_chance = 1;   // probability that a given host is in the sample
   double sampled_at = 0;
-  double hold_until = 0;
-  int reports_due = 0;
-  int draws = 0;
-  bool gathering = false;
+  double hold_until = 0;   // end of the wait for reports or for the next sample
+  int reports_due = 0;     // probes that it waits for
+  int draws = 0;           // samples since the last send of which no host was chosen
+  bool gathering = false;  // such a wait is in progress
   bool stream_begun = false;
 
   int Count() const { return static_cast<int>(attempts.size()); }
@@ -104,9 +104,9 @@
 
 // A host in the ranking of HostSelector.
 struct Ranked {
-  double key;
-  double tie;
-  int host;  // or kNoHost or kAllFull
+  double key;  // expected time due to load and distance, by which hosts are ranked
+  double tie;  // random, orders equal keys
+  int host;    // or kNoHost or kAllFull
   double figure;
 
   bool operator<(const Ranked& other) const { return key != other.key ? key < other.key : tie < other.tie; }
--- a/src/cartspring/reports.h
+++ b/src/cartspring/reports.h
@@ -16,7 +16,7 @@
 constexpr int kHoldTicks = 2;              // a request waits this long for its sample's reports
 constexpr double kProbeLife = 0.25;        // validity of a probe's report, in typical answer times
 constexpr double kAnswerLife = 8;          // validity of a report that came with an answer, likewise
-constexpr double kOwnMeanAnswerTimes = 4;  // averaging time of own attempts, in typical answer times
+constexpr double kOwnMeanTimes = 4;        // averaging time of own attempts, in typical answer times
 constexpr double kShareDecayMs = 1000;     // averaging time of this instance's share of the load on hosts
 constexpr double kMaxReportedLoad = 24;    // most requests believed of a report, for a host of mean size
 constexpr double kMaxHostRequests = 6;     // most requests that a host of mean size is given
@@ -43,9 +43,9 @@
   }
 
   void Update(Host& host, const LoadReport& report) {
-    const double told = report.in_flight >= 0 ? report.in_flight : report.queue;
-    if (told < 0) return;
-    const double load = std::min(told, kMaxReportedLoad * hosts_.Size(host));
+    const double reported = report.in_flight >= 0 ? report.in_flight : report.queue;
+    if (reported < 0) return;
+    const double load = std::min(reported, kMaxReportedLoad * hosts_.Size(host));
     CountOwn(host, 0);
     // A report with an answer describes some moment before it, for which only the mean is known.
     host.others = std::max(0.0, load - (Probing() ? host.CurrentOwn() : host.own_mean));
@@ -71,7 +71,7 @@
   }
 
   void CountOwn(Host& host, int more) {
-    const double kept = std::exp((host.own_at - ctx_.now) / (kOwnMeanAnswerTimes * estimates_.UsualAnswer()));
+    const double kept = std::exp((host.own_at - ctx_.now) / (kOwnMeanTimes * estimates_.TypicalAnswer()));
     host.own_mean = host.CurrentOwn() + (host.own_mean - host.CurrentOwn()) * kept;
     host.own_at = ctx_.now;
     host.own += more;
--- a/src/cartspring/time_shape.h
+++ b/src/cartspring/time_shape.h
@@ -1,4 +1,4 @@
-// The relation between a host's figure (its load by size and warmth) and the time of an attempt, fitted
+// The relation between a host's figure, its load by size and warmth, and the time of an attempt: a fit
 // to outcomes.
 #ifndef CARTSPRING_SRC_CARTSPRING_TIME_SHAPE_H_
 #define CARTSPRING_SRC_CARTSPRING_TIME_SHAPE_H_
@@ -14,7 +14,7 @@
 constexpr double kMaxOffset = 16;
 constexpr double kShapeDecay = 0.98;  // factor on past outcomes at each new one
 constexpr double kMinFigureVariation =
-    0.01;  // least squared variation of the figures seen that determines a slope
+    0.01;  // least squared variation of the figures that determines a slope
 
 // How the time of an attempt grows with its host's figure: in proportion to figure + offset, normalised to 1
 // at the mean of the figures seen. The offset comes from a line fitted with decay to this instance's own
