--- a/src/cartspring/fields.cpp
+++ b/src/cartspring/fields.cpp
@@ -19,7 +19,7 @@
   return value;
 }
 
-std::uint64_t ToWhole(std::string_view text, std::string_view field) {
+std::uint64_t ToUnsigned(std::string_view text, std::string_view field) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) {
@@ -45,28 +45,28 @@
   return *value;
 }
 
-std::string_view Fields::Text(std::string_view field, std::string_view absent) const {
+std::string_view Fields::Text(std::string_view field, std::string_view default_value) const {
   const auto value = Find(field);
-  if (!value) OnDefaultUsed(field, absent);
-  return value.value_or(absent);
+  if (!value) OnDefaultUsed(field, default_value);
+  return value.value_or(default_value);
 }
 
 double Fields::Number(std::string_view field) const { return ToNumber(Text(field), field); }
 
-double Fields::Number(std::string_view field, double absent) const {
+double Fields::Number(std::string_view field, double default_value) const {
   const auto value = Find(field);
   if (value) return ToNumber(*value, field);
-  OnDefaultUsed(field, absent);
-  return absent;
+  OnDefaultUsed(field, default_value);
+  return default_value;
 }
 
-std::uint64_t Fields::Whole(std::string_view field) const { return ToWhole(Text(field), field); }
+std::uint64_t Fields::Whole(std::string_view field) const { return ToUnsigned(Text(field), field); }
 
-std::uint64_t Fields::Whole(std::string_view field, std::uint64_t absent) const {
+std::uint64_t Fields::Whole(std::string_view field, std::uint64_t default_value) const {
   const auto value = Find(field);
-  if (value) return ToWhole(*value, field);
-  OnDefaultUsed(field, static_cast<double>(absent));
-  return absent;
+  if (value) return ToUnsigned(*value, field);
+  OnDefaultUsed(field, static_cast<double>(default_value));
+  return default_value;
 }
 
 bool Fields::Flag(std::string_view field) const {
--- a/src/cartspring/fields.h
+++ b/src/cartspring/fields.h
@@ -18,7 +18,7 @@
 
 std::string Quoted(std::string_view text);
 double ToNumber(std::string_view text, std::string_view field);
-std::uint64_t ToWhole(std::string_view text, std::string_view field);
+std::uint64_t ToUnsigned(std::string_view text, std::string_view field);
 int ToIndex(std::uint64_t value, std::string_view field);
 bool ToFlag(std::string_view text, std::string_view field);
 
@@ -36,11 +36,11 @@
   virtual std::optional<std::string_view> Find(std::string_view field) const = 0;
 
   std::string_view Text(std::string_view field) const;  // throws ParseError if absent
-  std::string_view Text(std::string_view field, std::string_view absent) const;
+  std::string_view Text(std::string_view field, std::string_view default_value) const;
   double Number(std::string_view field) const;
-  double Number(std::string_view field, double absent) const;
+  double Number(std::string_view field, double default_value) const;
   std::uint64_t Whole(std::string_view field) const;
-  std::uint64_t Whole(std::string_view field, std::uint64_t absent) const;
+  std::uint64_t Whole(std::string_view field, std::uint64_t default_value) const;
   bool Flag(std::string_view field) const;  // absent: false
 
  protected:
--- a/src/cartspring/settings.cpp
+++ b/src/cartspring/settings.cpp
@@ -15,24 +15,24 @@
   return out;
 }
 
-RequestClass ReadClass(const Fields& fields, const std::string& at) {
+RequestClass ReadClass(const Fields& fields, const std::string& prefix) {
   RequestClass out;
-  out.name = fields.Text(at + "name", "");
-  out.aim_ms = fields.Number(at + "promiseMs");
-  out.aim_stretch = fields.Number(at + "aimStretch", 0);
-  out.deadline_ms = fields.Number(at + "deadlineMs");
-  out.worth = fields.Number(at + "worth", 1);
-  out.late_worth = fields.Number(at + "lateWorth", 0);
+  out.name = fields.Text(prefix + "name", "");
+  out.aim_ms = fields.Number(prefix + "promiseMs");
+  out.aim_stretch = fields.Number(prefix + "aimStretch", 0);
+  out.deadline_ms = fields.Number(prefix + "deadlineMs");
+  out.worth = fields.Number(prefix + "worth", 1);
+  out.late_worth = fields.Number(prefix + "lateWorth", 0);
   constexpr std::array<std::pair<std::string_view, Effect>, 3> kEffects = {
       {{"free", Effect::kSafe}, {"guarded", Effect::kKeyed}, {"single_shot", Effect::kUnsafe}}};
   constexpr std::array<std::pair<std::string_view, RepeatGroup>, 3> kGroups = {
       {{"all", RepeatGroup::kAll}, {"zone", RepeatGroup::kZone}, {"cell", RepeatGroup::kCell}}};
-  out.effect = Lookup(kEffects, fields.Text(at + "effect"), at + "effect");
+  out.effect = Lookup(kEffects, fields.Text(prefix + "effect"), prefix + "effect");
   if (out.effect == Effect::kKeyed) {
-    out.group = Lookup(kGroups, fields.Text(at + "group"), at + "group");
-    out.repeat_window_ms = fields.Number(at + "windowMs");
+    out.group = Lookup(kGroups, fields.Text(prefix + "group"), prefix + "group");
+    out.repeat_window_ms = fields.Number(prefix + "windowMs");
   }
-  out.streaming = fields.Flag(at + "streaming");
+  out.streaming = fields.Flag(prefix + "streaming");
   return out;
 }
 
