--- a/examples/embedding.cpp
+++ b/examples/embedding.cpp
@@ -1,5 +1,5 @@
-// A client proxy in small: it hands events to the balancer and carries out every action. A real one would put
-// its own sockets, timers and watch on discovery where this one keeps lists.
+// A minimal client proxy: passes events to the balancer and carries out every action. A real proxy has
+// sockets, timers and a subscription to service discovery where this one keeps lists.
 #include <map>
 #include <string>
 #include <vector>
@@ -14,7 +14,8 @@
  public:
   explicit Proxy(const cartspring::Settings& settings) : balancer_(settings, /*seed=*/42, *this) {}
 
-  // What the proxy's own parts report. Each call may bring actions, carried out below before it returns.
+  // Events from the other parts of the proxy. Each call may cause actions, which the overrides below carry
+  // out before it returns.
   void HostsKnown(double now_ms, const std::vector<cartspring::HostEntry>& hosts) {
     balancer_.OnHostList(now_ms, hosts, /*remembered=*/false);
   }
@@ -33,7 +34,7 @@
     }
   }
 
-  // Actions.
+  // Actions (ActionSink).
   void Send(RequestId id, const std::string& host, double /*give_up_ms*/, double /*out_by_ms*/) override {
     sent.emplace_back(id, host);
   }
--- a/src/simhost/simhost.h
+++ b/src/simhost/simhost.h
@@ -1,4 +1,4 @@
-// Hosts many balancers behind the simulator's wire: batches in, one reply a batch out.
+// Runs many balancer instances for the simulator: reads batches of events, writes one reply per batch.
 #ifndef CARTSPRING_SRC_SIMHOST_SIMHOST_H_
 #define CARTSPRING_SRC_SIMHOST_SIMHOST_H_
 
@@ -19,7 +19,8 @@
 
 class SimHost {
  public:
-  // Reads batches until the input ends. 0: it ended between batches. 1: malformed input, told on `errors`.
+  // Reads batches until the input ends. Returns 0 if it ends between two batches, or 1 if it is malformed;
+  // the line number and the reason are then written to `errors`.
   int Run(std::istream& in, std::ostream& out, std::ostream& errors);
 
  private:
@@ -35,10 +36,10 @@
   void Deliver(const wire::Line& line, Balancer& balancer);
   void DeliverHosts(const wire::Line& line, Balancer& balancer);
 
-  std::unordered_map<std::string, std::unique_ptr<Instance>> instances_;  // looked up, never walked
-  std::array<std::optional<std::vector<HostEntry>>, 16> lists_;           // the wire numbers them 0 to 15
-  std::vector<HostEntry>* open_list_ = nullptr;
-  std::uint64_t rows_owed_ = 0;
+  std::unordered_map<std::string, std::unique_ptr<Instance>> instances_;  // never iterated over
+  std::array<std::optional<std::vector<HostEntry>>, 16> lists_;           // the protocol numbers them 0 to 15
+  std::vector<HostEntry>* open_list_ = nullptr;  // the list whose rows are being read
+  std::uint64_t rows_owed_ = 0;                  // rows of it still to come
   bool in_batch_ = false;
   double now_ms_ = 0;
   std::string turn_;
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -71,7 +71,7 @@
   for (const auto& [name, kind] : kNames) {
     if (name == name_) kind_ = kind;
   }
-  if (kind_ == Kind::kUnknown) return;  // skipped by the reader, whatever its parts look like
+  if (kind_ == Kind::kUnknown) return;  // the caller skips it; its fields are not validated
   while (tab != std::string_view::npos) {
     text.remove_prefix(tab + 1);
     tab = text.find('\t');
--- a/src/simhost/wire.h
+++ b/src/simhost/wire.h
@@ -1,4 +1,4 @@
-// The simulator's wire: parsing its events and writing actions. Its names stay in wire.cpp.
+// The simulator's wire protocol: parses events and writes actions. Only wire.cpp knows the protocol's names.
 #ifndef CARTSPRING_SRC_SIMHOST_WIRE_H_
 #define CARTSPRING_SRC_SIMHOST_WIRE_H_
 
@@ -15,9 +15,10 @@
 
 namespace cartspring::wire {
 
-using cartspring::ParseError;  // what was wrong with a line; the reader of batches adds which line it was
+using cartspring::ParseError;  // what is wrong with a line; SimHost::Run adds the line number
 using cartspring::ReadSettings;
 
+// The message types of the protocol.
 enum class Kind {
   kBatchOpen,
   kBatchClose,
@@ -35,7 +36,8 @@
   kUnknown,
 };
 
-// One line, split but not yet read. Views point into the line.
+// One line, split into message name and fields; the fields are not converted yet. All views point into the
+// text that the constructor gets, which must outlive the object.
 class Line : public Fields {
  public:
   explicit Line(std::string_view text);
@@ -51,15 +53,18 @@
   std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
+// The start of a batch: its time and the identifier that the reply repeats.
 struct BatchOpen {
   double now_ms = 0;
   std::string turn;
 };
+// A discovery event: which of the lists sent in this batch or before it applies, and what it stands for.
 struct Hosts {
   enum class Scope { kChanges, kAll, kRemembered, kRefused };
   Scope scope = Scope::kAll;
   std::uint64_t list = 0;
 };
+// The outcome of an attempt.
 struct Ended {
   RequestId id = 0;
   int attempt = 0;
@@ -68,6 +73,7 @@
   double took_ms = 0;
   std::optional<LoadReport> report;
 };
+// The result of a probe.
 struct Probed {
   std::string host;
   bool answered = false;
@@ -75,6 +81,7 @@
   std::optional<LoadReport> report;
 };
 
+// Readers of single messages. Each throws ParseError for a missing or malformed field.
 std::string_view Instance(const Line& line);
 BatchOpen ReadBatchOpen(const Line& line);
 std::uint64_t ReadSeed(const Line& line);
@@ -89,7 +96,7 @@
 std::uint64_t ReadTimer(const Line& line);
 Probed ReadProbed(const Line& line);
 
-// Appends the actions of one instance to a reply.
+// Appends the actions of one balancer instance to a reply.
 class ReplyWriter : public ActionSink {
  public:
   ReplyWriter(std::string instance, std::string* reply) : instance_(std::move(instance)), reply_(reply) {}
@@ -108,7 +115,9 @@
   std::string* reply_;
 };
 
+// Appends the message that an event made an instance throw; `text` is the exception's message.
 void WriteBroken(std::string_view instance, std::string_view text, std::string* reply);
+// Appends the end of the reply to the batch with that `turn`.
 void WriteEnd(std::string_view turn, std::string* reply);
 
 }  // namespace cartspring::wire
--- a/tests/cartspring/allocations_test.cpp
+++ b/tests/cartspring/allocations_test.cpp
@@ -1,5 +1,6 @@
-// A decision allocates nothing once the tables are warm, whatever the number of names, in a tier that is as
-// large as the list. A program of its own, since it counts all allocations of its process.
+// Once its tables have reached their final size, a decision allocates no memory, however many hosts the list
+// names and with as many balancers as hosts. This is a program of its own because it counts all allocations
+// of its process.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -15,7 +16,7 @@
 
 }  // namespace
 
-// Not inlined: g++ 12 takes the pair for one that does not match where it sees through both.
+// Not inlined: if g++ 12 sees the bodies of both, it warns that new and delete do not match.
 [[gnu::noinline]] void* operator new(std::size_t size) {
   ++allocations;
   if (void* memory = std::malloc(size)) return memory;
@@ -40,7 +41,8 @@
   int sent = 0;
 };
 
-// Of one request that is sent and served, in the mean of many, once all rows are as large as they get.
+// The mean number of allocations for a request that is sent and served, after a warm-up in which all tables
+// reach their final size.
 double AllocationsADecision(int names) {
   constexpr int kWarm = 5000, kCounted = 2000;
   Settings settings;
@@ -74,7 +76,7 @@
 TEST(Allocations, ADecisionTakesNoneWhateverTheNumberOfNames) {
   EXPECT_EQ(AllocationsADecision(8), 0);
   EXPECT_EQ(AllocationsADecision(630), 0);
-  EXPECT_GT(allocations, 630U);  // they are counted: the list alone takes as many
+  EXPECT_GT(allocations, 630U);  // the counter works: the host list alone takes as many
 }
 
 }  // namespace
--- a/tests/cartspring/cold_sum_test.cpp
+++ b/tests/cartspring/cold_sum_test.cpp
@@ -1,5 +1,6 @@
-// Cold hosts fall under the sum of what all instances send. Many instances that know of each other by number
-// alone decide beside each other here, in simulated time, under a burst.
+// A cold (recently started) host fails under the total load that all instances send to it. Here many
+// instances, each of which knows only how many there are, decide independently under a burst, in
+// simulated time.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -18,13 +19,13 @@
 struct ColdPlan {
   int instances = 20;
   int hosts = 12, cold = 2;
-  double calls = 4;     // a second that a warm host of the fleet's mean bears
-  double load = 1.5;    // of what all hosts bear
-  bool retries = true;  // clients come again with less time
+  double calls = 4;     // calls per second that an average warm host can serve
+  double load = 1.5;    // offered load as a share of the capacity of all hosts
+  bool retries = true;  // every third request is a client's retry, with less time left
 };
 
-// The most that a cold host got over its budget of N calls within the time that the settings name, as a share
-// of the 2 x root of N + 2 that are chance; and what all cold ones got.
+// `worst`: the largest excess of a cold host over its budget of N calls in any window of `fall_ms`, as a
+// share of the 2 * sqrt(N) + 2 that random variation accounts for. `sent`: the calls sent to all cold hosts.
 struct ColdSum {
   double worst = -1e9;
   int sent = 0, allowed = 0;
--- a/tests/cartspring/embedding_test.cpp
+++ b/tests/cartspring/embedding_test.cpp
@@ -1,4 +1,4 @@
-// The embedding example of the README compiles and works.
+// The embedding example (examples/embedding.cpp), which the README shows, compiles and works.
 #include "embedding.cpp"
 
 #include <gtest/gtest.h>
--- a/tests/cartspring/exhaustive_test.cpp
+++ b/tests/cartspring/exhaustive_test.cpp
@@ -1,6 +1,6 @@
-// All orders of a few events on three hosts, through the real module: the rules, checked after every event by
-// a record that knows nothing of the module (support/rule_book.h). No chance but the module's own, whose seed
-// is the order's number.
+// Plays all orders of a few events on three hosts to a real balancer. After every event the rules are checked
+// by a record that is independent of the balancer (support/rule_book.h). The only randomness is the
+// balancer's own, seeded with the number of the order.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -15,19 +15,19 @@
   kAskSafe,
   kAskKeyed,
   kAskUnsafe,
-  kDrain,      // b drains
-  kColdStart,  // c has started again
-  kListShort,  // a whole list without a
-  kTimeOut,    // of the claim that is out longest
-  kLost,       // its connection breaks
-  kDeclined,   // it never ran
-  kLeave,      // whoever asked first and waits
-  kPass,       // 120 ms
+  kDrain,      // b starts draining
+  kColdStart,  // c restarts
+  kListShort,  // a complete list without host a
+  kTimeOut,    // of the oldest attempt in flight
+  kLost,       // the oldest attempt's connection breaks
+  kDeclined,   // the oldest attempt is refused by its host: it never ran
+  kLeave,      // the client of the oldest open request goes away
+  kPass,       // 120 ms pass
   kEvents,
-  kServed = kEvents,  // in the burst only
+  kServed = kEvents,  // only in the burst test
 };
 constexpr int kDepth = 7;
-constexpr std::uint64_t kOrdersEach = 10 * 9 * 8 * 7 * 6 * 5;  // behind each first event
+constexpr std::uint64_t kOrdersEach = 10 * 9 * 8 * 7 * 6 * 5;  // for each first event
 
 class Fleet {
  public:
@@ -78,7 +78,7 @@
     book_.Asked(bed_.last_id + 1, static_cast<rules::Effect>(klass), bed_.now + 800);
     bed_.Request(klass);
   }
-  // All that is open comes to its end.
+  // Runs until every open request has ended; returns the breaches of the rules.
   const std::vector<std::string>& Finish() {
     PassTo(bed_.now + 900);
     return book_.breaches();
@@ -111,7 +111,7 @@
     book_.Told(host.host, host.state == HostState::kLive, host.zone, host.started_ms);
   }
   void Change(std::size_t from_end_of_three, HostState state, double started) {
-    HostEntry& host = hosts_[hosts_.size() - (3 - from_end_of_three)];  // a may have left the front
+    HostEntry& host = hosts_[hosts_.size() - (3 - from_end_of_three)];  // host a may be gone
     host.state = state;
     if (started > 0) host.started_ms = started;
     Tell(host);
@@ -136,8 +136,8 @@
       return;
     }
   }
-  // Claims run out of time before the module's timers of the same moment ring, as in the sidecar. Where
-  // reports come by probe nobody tells of that, and the module has to end what it holds by itself.
+  // Attempts time out before the balancer's timers of the same time fire, as in the sidecar. With reports by
+  // probe no time-out is delivered here, so the balancer has to end its requests by its own timers.
   void PassTo(double until) {
     while (true) {
       double next = bed_.out.timers.empty() ? until : bed_.out.timers.begin()->first;
@@ -157,7 +157,7 @@
     bed_.PassTo(until);
     Note();
   }
-  // Carries what the module did since the last look into the record, in order.
+  // Enters the balancer's actions since the last call into the record, in order.
   void Note() {
     for (; cancels_ < bed_.out.cancels.size(); ++cancels_) {
       const auto [id, number] = bed_.out.cancels[cancels_];
@@ -185,7 +185,7 @@
   std::size_t sends_ = 0, cancels_ = 0, refused_ = 0, failed_ = 0;
 };
 
-// Where reports come by probe, a request is held for them, so that what happens meanwhile counts.
+// With reports by probe a request waits for them, so events in between matter.
 class AllOrders : public testing::TestWithParam<std::tuple<int, Reporting>> {};
 
 TEST_P(AllOrders, KeepTheRules) {
@@ -212,7 +212,7 @@
                                   (std::get<1>(run.param) == Reporting::kProbe ? "ByProbe" : "ByAnswers");
                          });
 
-// A burst of twelve around a cold start that comes at any place in it, with the other host in service or not.
+// A burst of twelve requests, with a cold start of one host and a drain of another at any two positions.
 TEST(AllOrders, OfABurstAndAColdStartOverrunNoHost) {
   std::uint64_t number = 0;
   for (int start = 0; start <= 12; ++start) {
@@ -233,7 +233,7 @@
   EXPECT_EQ(number, 13u * 13 * 2);
 }
 
-// The record can fail: one breach of each rule, as a module that broke it would leave it.
+// The record itself detects violations: one breach of each rule, as a faulty balancer would cause it.
 TEST(RuleBook, FindsABreachOfEachRule) {
   using rules::Answer;
   using rules::Effect;
@@ -291,12 +291,12 @@
             "again-after-run 1");
   EXPECT_EQ(found([&](auto& b) {
               lost(b, 2);
-              b.Sent(20, 2, "b");  // in another group
+              b.Sent(20, 2, "b");  // a host of another group
             }),
             "again-after-run 2");
   EXPECT_EQ(found([&](auto& b) {
               lost(b, 2);
-              b.Sent(311, 2, "a");  // past the window
+              b.Sent(311, 2, "a");  // after the repeat window
             }),
             "again-after-run 2");
   EXPECT_EQ(found([&](auto& b) {
@@ -316,7 +316,7 @@
               b.Sent(10, 1, "a");
             }),
             "claim-after-end 1");
-  EXPECT_EQ(found([&](auto& b) { b.Sent(10, 9, "a"); }), "claim-after-end 9");  // nobody asked
+  EXPECT_EQ(found([&](auto& b) { b.Sent(10, 9, "a"); }), "claim-after-end 9");  // no such request
   EXPECT_EQ(found([&](auto& b) {
               b.Told("a", false, 0, 0);
               b.Sent(10, 1, "a");
--- a/tests/cartspring/fixture.h
+++ b/tests/cartspring/fixture.h
@@ -1,4 +1,5 @@
-// Shared by the tests: a sink that records what the module does, and settings with one class of each effect.
+// Shared by the tests: a sink that records the balancer's actions, settings with one request class for each
+// effect, and a fixture that drives a balancer in simulated time.
 #ifndef CARTSPRING_TESTS_FIXTURE_H_
 #define CARTSPRING_TESTS_FIXTURE_H_
 
@@ -13,6 +14,7 @@
 
 namespace cartspring {
 
+// Records every action, by kind and in order.
 struct Recorder : ActionSink {
   struct Sent {
     RequestId id;
@@ -55,6 +57,7 @@
   }
   void Note(const std::string& line) { all.push_back(line); }
 
+  // How many final answers (refused or failed) the request has received.
   int Answers(RequestId id) const {
     return static_cast<int>(std::count(refused.begin(), refused.end(), id) +
                             std::count(failed.begin(), failed.end(), id));
@@ -63,7 +66,7 @@
   std::vector<Sent> sends;
   std::vector<std::pair<RequestId, int>> cancels;
   std::vector<RequestId> refused, failed;
-  std::vector<double> advice;  // of each of those refused
+  std::vector<double> advice;  // of the refusals, in order: the retry_after_ms given
   std::vector<std::string> probes, logs, all;
   std::multimap<double, std::uint64_t> timers;
   int subscriptions = 0;
@@ -71,7 +74,7 @@
 
 enum TestClass { kSafeClass, kKeyedClass, kUnsafeClass };
 
-// Reports come with answers, so that a request is decided in the call that brings it.
+// Load reports come with answers, so a request is decided within the OnRequest call.
 inline Settings TestSettings() {
   Settings s;
   RequestClass c;
@@ -98,7 +101,7 @@
   return s;
 }
 
-// Hosts a, b, c ... in zone 0 (of `zones`) and cell 0 (of `cells`), in turn.
+// Hosts a, b, c ..., assigned round-robin to zones 0 to `zones` - 1 and cells 0 to `cells` - 1.
 inline std::vector<HostEntry> TestHosts(int count, int zones = 1, int cells = 1) {
   std::vector<HostEntry> hosts;
   for (int i = 0; i < count; ++i) {
@@ -111,7 +114,7 @@
   return hosts;
 }
 
-// A module under test with its clock and its timers, which ring in order of time.
+// A balancer under test with a simulated clock; its timers fire in order of time.
 struct Bed {
   explicit Bed(const Settings& settings, std::uint64_t seed = 1)
       : set(settings), balancer(settings, seed, out) {}
@@ -134,6 +137,7 @@
     const LoadReport report{load, -1};
     balancer.OnProbeResult(now, host, true, 1, &report);
   }
+  // Advances the clock and fires the timers that are due by then.
   void PassTo(double until) {
     while (!out.timers.empty() && out.timers.begin()->first <= until) {
       const auto [at, token] = *out.timers.begin();
--- a/tests/cartspring/fleet.h
+++ b/tests/cartspring/fleet.h
@@ -1,6 +1,7 @@
-// A small fleet in simulated time for tests of whole runs: several instances of the module decide beside each
-// other for hosts that queue, tip over when crowded and recover by resting. It has no lists, no drains and no
-// network; the lab plays those.
+// A small fleet in simulated time, for tests of whole runs: several balancer instances decide independently
+// for the same hosts. A host queues requests, becomes overloaded (slower) when its queue stays long, and
+// recovers once it has been mostly idle. Host list updates, drains and the network are not simulated here;
+// the lab has them.
 #ifndef CARTSPRING_TESTS_FLEET_H_
 #define CARTSPRING_TESTS_FLEET_H_
 
@@ -21,14 +22,14 @@
 struct FleetPlan {
   int hosts = 8;
   int instances = 2;
-  double service_ms = 8;  // of a request on a host of speed 1
-  double load = 0.6;      // of what all hosts can do
-  double tip_at = 1e9;    // waiting at a host for `tip_ms` on end: it is `slower` until it has rested
+  double service_ms = 8;  // mean service time of a request on a host of speed 1
+  double load = 0.6;      // offered load as a share of the capacity of all hosts
+  double tip_at = 1e9;    // queue length that, exceeded for `tip_ms`, makes a host overloaded
   double tip_ms = 1500;
-  double slower = 3;
-  double rest_ms = 2500;
-  double report_every_ms = 300;  // the figure that answers carry is renewed so often
-  bool reports = true;
+  double slower = 3;             // factor on the service time of an overloaded host
+  double rest_ms = 2500;         // idle time after which it recovers
+  double report_every_ms = 300;  // how often the load that answers report is updated
+  bool reports = true;           // whether answers carry a load report
   std::uint32_t seed = 1;
 };
 
@@ -45,10 +46,10 @@
     double crowded_since = -1, watched = 0, rested = 0;
     bool was_idle = true;
     double shown = 0, shown_at = -1e9;
-    std::deque<std::uint64_t> queue;  // of calls; the first is worked on
-    std::uint64_t turn = 0;           // of the end that is due
+    std::deque<std::uint64_t> queue;  // calls; the first is being served
+    std::uint64_t turn = 0;           // invalidates completions scheduled for an earlier first call
   };
-  // What becomes of a call when it ends, where it is not just served.
+  // The outcome of a call that a host has finished, in place of kServed.
   using Spoil = std::function<Outcome(int host)>;
 
   Fleet(const FleetPlan& plan, Settings settings)
@@ -67,7 +68,7 @@
     Arrive(epoch_);
   }
 
-  // Runs on to that time; what was counted since the last call is returned.
+  // Runs the simulation up to that time; returns what was counted since the last call.
   Counts PassTo(double until) {
     counts_ = {};
     while (!events_.empty() && events_.top().at <= until) {
@@ -98,17 +99,17 @@
     instances_[static_cast<std::size_t>(instance)] = std::make_unique<Instance>(*this, instance, Entries());
   }
 
-  // The next request comes at once: after a long time without any it was drawn for far off.
+  // Draws the next arrival anew from the present load: at a very low load it was scheduled far in the future.
   void Wake() {
     ++epoch_;
     Arrive(epoch_);
   }
 
   FleetPlan& plan() { return plan_; }
-  Spoil spoil;                            // absent: all is served
-  std::function<bool()> loses;            // an answer: the work is done, and nothing is heard of it
-  std::function<double(double)> report;   // what a report says instead of the truth
-  std::function<double(double)> took_of;  // what an outcome says of its time
+  Spoil spoil;                  // empty: every call is served
+  std::function<bool()> loses;  // whether an answer is lost: the work is done, but no outcome arrives
+  std::function<double(double)> report;   // maps the true load to the reported one
+  std::function<double(double)> took_of;  // maps the true duration to the reported one
 
  private:
   struct Event {
@@ -211,7 +212,7 @@
     Drop(asked->second.out.at(attempt));
   }
 
-  // The state that crowding brings on, and its end.
+  // Updates whether a host is overloaded; to be called whenever its queue has changed.
   void Watch(Host& host) {
     if (static_cast<double>(host.queue.size()) > plan_.tip_at) {
       if (host.crowded_since < 0) host.crowded_since = now_;
@@ -219,7 +220,7 @@
     } else {
       host.crowded_since = -1;
     }
-    // Mostly idle: what it is busy for counts thrice against its rest.
+    // Recovery needs a host that is mostly idle: each ms of busy time cancels 2.3 ms of idle time.
     const double since = now_ - std::exchange(host.watched, now_);
     host.rested = std::max(0.0, host.rested + (host.was_idle ? since : -2.3 * since));
     host.was_idle = host.queue.empty();
@@ -244,7 +245,7 @@
     calls_.erase(call);
   }
 
-  // It is at its host no more.
+  // Removes a call from its host's queue, whether it waits or is being served.
   void Leave(std::uint64_t call) {
     const int number = calls_.at(call).host;
     Host& host = hosts_[static_cast<std::size_t>(number)];
--- a/tests/cartspring/module_test.cpp
+++ b/tests/cartspring/module_test.cpp
@@ -1,4 +1,4 @@
-// Health, admission, discovery, determinism and bad use.
+// Tests of a whole balancer: host health, admission, pacing, discovery and invalid calls.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -8,7 +8,8 @@
 namespace cartspring {
 namespace {
 
-// Sends `count` requests, each ended as the host's `outcome` says; how many went to host a.
+// Sends `count` requests; those to host a end with `outcome_of_a`, the others are served. Returns how many
+// went to host a.
 int SendsToA(Bed& bed, int count, Outcome outcome_of_a, double pause = 10) {
   int to_a = 0;
   for (int i = 0; i < count; ++i) {
@@ -24,7 +25,7 @@
 TEST(Health, AHostThatErrsAtOnceIsSetAsideThoughItLooksIdle) {
   Bed bed(TestSettings());
   bed.Hosts(TestHosts(4));
-  // Two seconds of requests; without the guard nine tenths would go to the idle-looking host.
+  // Two seconds of requests. Without the health check nine tenths would go to the host that looks idle.
   EXPECT_LT(SendsToA(bed, 200, Outcome::kError), 8);
 }
 
@@ -42,7 +43,7 @@
   const int first = SendsToA(bed, 1000, Outcome::kError);
   const int later = SendsToA(bed, 1000, Outcome::kError);
   EXPECT_GT(first, later);
-  EXPECT_GT(later, 0);  // a trickle goes on: this is how its recovery is seen
+  EXPECT_GT(later, 0);  // a few requests still go there, so that its recovery is noticed
 }
 
 TEST(Health, IfMostHostsLookIllTheViewIsSuspectedAndAllAreUsed) {
@@ -59,7 +60,7 @@
 }
 
 TEST(Health, HostsThatCannotBeReachedAreLeftOutThoughTheyAreMostOfTheList) {
-  // A list that is seconds old names four that are gone beside three that serve.
+  // A host list that is some seconds old names four hosts that are gone and three that serve.
   Settings settings = TestSettings();
   settings.max_attempts = 3;
   Bed bed(settings);
@@ -91,7 +92,7 @@
     bed.End(id, 0, Outcome::kServed, true, a ? 400 : 50, 2);
     bed.PassTo(bed.now + 5);
   }
-  EXPECT_LT(to_a, 40);  // a quarter would be a hundred
+  EXPECT_LT(to_a, 40);  // an equal share would be 100
 }
 
 TEST(Health, AHostThatTakesRequestsAndSaysNothingGetsNoMoreOfThem) {
@@ -108,7 +109,7 @@
     bed.PassTo(bed.now + 5);
   }
   EXPECT_GT(to_a, 0);
-  EXPECT_LT(to_a, 4);  // its low row would draw more
+  EXPECT_LT(to_a, 4);  // ranked by its low reported load alone it would get more
 }
 
 TEST(Health, WhereAnyHostSpoilsSomeAnswersOnlyOneThatFailsMoreIsLeftOut) {
@@ -156,14 +157,14 @@
   for (int i = 0; i < 100; ++i) {
     auto hosts = TestHosts(1);
     hosts[0].host = "new-" + std::to_string(i);
-    bed.Hosts(hosts);  // all others are gone
+    bed.Hosts(hosts);  // all other hosts are gone from the list
     const RequestId id = bed.Request(kUnsafeClass);
     EXPECT_EQ(bed.out.sends.back().host, hosts[0].host);
     bed.End(id, 0, Outcome::kServed, true, 10, 1);
     if (i < 4) continue;
     EXPECT_THROW(bed.Probed("new-" + std::to_string(i - 3), 1), std::invalid_argument);
   }
-  bed.Probed(first, 1);  // its attempt is still out: it is not forgotten
+  bed.Probed(first, 1);  // known as long as its attempt is in flight
   bed.End(held, 0, Outcome::kServed, true, 10, 1);
 }
 
@@ -178,7 +179,7 @@
       bed.PassTo(bed.now + 1);
     }
   }
-  // A fifth of the requests earn another attempt, and few were saved up.
+  // Every five requests allow one retry, and few retries were saved up.
   EXPECT_LT(bed.out.sends.size(), 300 + 300 / 5 + 10u);
   EXPECT_GT(bed.out.sends.size(), 330u);
 }
@@ -221,7 +222,7 @@
 }
 
 TEST(Admission, OneClassesTimeOutsDoNotShutAnotherClassOut) {
-  // Incident i137d5a: what one class meets must not move what is expected of another.
+  // Incident i137d5a: the outcomes of one class must not change the time expected of another.
   Bed bed(TestSettings());
   bed.Hosts(TestHosts(3));
   for (int i = 0; i < 60; ++i) {
@@ -243,7 +244,8 @@
   bed.Hosts(TestHosts(3));
   for (int i = 0; i < 5; ++i) bed.End(bed.Request(kSafeClass, 1000), 0, Outcome::kServed, true);
   const std::size_t before = bed.out.sends.size();
-  // Its class is given 1000 ms in all: with 400 left it began 600 ms ago, past the aim of 500.
+  // The class has a deadline of 1000 ms: with 400 ms left the request began 600 ms ago, which is past the
+  // target latency of 500 ms.
   const RequestId id = bed.Request(kSafeClass, 400);
   bed.PassTo(bed.now + 1);
   EXPECT_EQ(bed.out.sends.size(), before);
@@ -254,7 +256,7 @@
   Bed bed(TestSettings());
   bed.Hosts(TestHosts(3));
   for (int i = 0; i < 20; ++i) {
-    // Of 1000 ms in all a first try is given 450; a retry, refused early, gets all that is left.
+    // Clients give a first try 450 of the 1000 ms in all; the retry after an early refusal gets all the rest.
     bed.End(bed.Request(kSafeClass, i == 5 ? 950 : 450), 0, Outcome::kServed, true, 20, 3);
     ASSERT_EQ(bed.out.sends.size(), static_cast<std::size_t>(i) + 1);
   }
@@ -269,7 +271,7 @@
     bed.End(bed.Request(kSafeClass), 0, Outcome::kServed, true, 20, 2);
     bed.PassTo(bed.now + 25);
   }
-  // Of 1000 ms in all it has 150 left: if it is a retry, its aim has passed.
+  // It has 150 of 1000 ms left: if it is a retry, its target latency has passed.
   const RequestId id = bed.Request(kSafeClass, 150);
   EXPECT_EQ(bed.out.sends.back().id, id);
 }
@@ -280,8 +282,8 @@
   return settings;
 }
 
-// Each member of a large tier has none or one request at a host, so that a bound on that count bounds
-// nothing.
+// In a large tier each instance has at most one request in flight at a host, so a limit on that number does
+// not help.
 TEST(Pace, WhereAnswersComeLateAMemberOfALargeTierTakesLessOnAndASmallOneDoesAsEver) {
   for (const int balancers : {4, 100}) {
     Settings settings = TestSettings();
@@ -294,15 +296,15 @@
       const RequestId id = bed.Request(kSafeClass, 1000);
       if (bed.out.sends.size() == before) continue;  // refused at once
       ++sent;
-      bed.PassTo(bed.now + 120);  // a quarter of the aim
+      bed.PassTo(bed.now + 120);  // a quarter of the target latency
       bed.End(id, 0, Outcome::kServed, true, 120, 1);
     }
-    EXPECT_GE(sent, balancers == 4 ? 60 : 6) << balancers;  // something is measured at any time
+    EXPECT_GE(sent, balancers == 4 ? 60 : 6) << balancers;  // some are always sent, to measure
     EXPECT_LE(sent, balancers == 4 ? 60 : 30) << balancers;
   }
 }
 
-// They are always late, since they are cold.
+// Cold hosts always answer late; this must not make the instance send less.
 TEST(Pace, ColdHostsAreUsedWhereWarmOnesAnswerLateAndTheirOwnLateAnswersCloseNothing) {
   Settings settings = TestSettings();
   settings.balancers = 100;
@@ -311,7 +313,7 @@
     auto hosts = TestHosts(20);
     for (int i = 0; i < cold_hosts; ++i) hosts[static_cast<std::size_t>(i)].started_ms = 990;
     bed.Hosts(hosts);
-    std::pair<int, int> sent;  // to cold ones, to all
+    std::pair<int, int> sent;  // to cold hosts, to all hosts
     for (int i = 0; i < 300; ++i) {
       const std::size_t before = bed.out.sends.size();
       const RequestId id = bed.Request(kSafeClass, 1000);
@@ -323,7 +325,7 @@
     }
     return sent;
   };
-  // Each is kept 0.3 * 3 / 2 of a fair share.
+  // Each cold host gets 0.3 x 3 / 2 of a fair share.
   EXPECT_GT(play(10, 50, 110).first, 300 * 0.45 * 0.5 * 0.6);
   EXPECT_GT(play(19, 110, 30).second, 270);
 }
@@ -385,10 +387,10 @@
   bed.balancer.Retune(settings, {0, 1, 2});
   bed.balancer.OnDiscoveryRefused(bed.now);
   const double refused_at = bed.now;
-  bed.PassTo(refused_at + 250);  // an eighth of it
+  bed.PassTo(refused_at + 250);  // an eighth of the new ask_within_ms
   EXPECT_EQ(bed.out.subscriptions, 2);
   bed.out.probes.clear();
-  bed.PassTo(refused_at + 5000);  // the rows are old
+  bed.PassTo(refused_at + 5000);  // load reports have become stale
   bed.Request(kSafeClass);
   EXPECT_EQ(bed.out.probes.size(), 5u);
 }
@@ -457,7 +459,7 @@
   request.give_up_ms = 1800;
   balancer.OnRequest(1000, request);
   ASSERT_EQ(out.sends.size(), 1u);
-  balancer.OnOutcome(1010, 1, 0, Outcome::kConnectFailed, false, 10, nullptr);  // it is known as ever
+  balancer.OnOutcome(1010, 1, 0, Outcome::kConnectFailed, false, 10, nullptr);  // the request is still known
   EXPECT_EQ(out.sends.size(), 2u);
 }
 
--- a/tests/cartspring/random_events_test.cpp
+++ b/tests/cartspring/random_events_test.cpp
@@ -1,5 +1,5 @@
-// Legal event sequences at fixed seeds. What the module answers is held against rules 1 to 3; there is no
-// model of a server here, outcomes are drawn.
+// Random legal event sequences with fixed seeds. The balancer's actions are checked against rules 1 to 3.
+// Servers are not modelled: outcomes are drawn at random.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -98,7 +98,7 @@
     }
   }
 
-  // As the clock passes, tries reach their time-outs before the timers of the same moment ring.
+  // Advances the clock in steps of 1 ms; attempts time out before the timers of the same time fire.
   void PassTo(double until) {
     for (double at = bed_.now + 1; at <= until; ++at) {
       for (auto& [id, request] : requests_) {
@@ -153,7 +153,7 @@
     bed_.balancer.OnHostList(bed_.now, whole, false);
   }
 
-  // Holds every action since the last review against the rules.
+  // Checks every action since the last call against the rules.
   void Review() {
     for (; sends_seen_ < bed_.out.sends.size(); ++sends_seen_) ReviewSend(bed_.out.sends[sends_seen_]);
     for (; refused_seen_ < bed_.out.refused.size(); ++refused_seen_)
--- a/tests/cartspring/recovery_test.cpp
+++ b/tests/cartspring/recovery_test.cpp
@@ -1,5 +1,5 @@
-// Coming back by itself: crowding that does not tip hosts, beliefs that do not hold themselves in place, and
-// what is given up told at once.
+// Recovery without intervention: bursts do not overload hosts for good, wrong estimates correct themselves,
+// and a request that cannot be served is refused early.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -9,8 +9,8 @@
 namespace cartspring {
 namespace {
 
-// After this many usual answer times of a fleet that can carry its load, fewer than 1% are refused, whatever
-// was believed before.
+// The bound on recovery: this many service times after the fault has ended, a fleet that can carry its load
+// refuses fewer than 1% of the requests, whatever the balancers had estimated before.
 constexpr double kAnswerTimes = 400;
 constexpr double kServiceMs = 8;
 
@@ -76,7 +76,7 @@
   fleet.loses = [&] { return ++answers % 4 == 0; };
   fleet.PassTo(fleet.now() + 2000);
   const Fleet::Counts counts = fleet.PassTo(fleet.now() + 8000);
-  EXPECT_GT(counts.failed, 500);  // they may have run
+  EXPECT_GT(counts.failed, 500);  // not refused, since they may have run
   EXPECT_LT(counts.refused, 0.02 * counts.asked);
 }
 
@@ -151,7 +151,7 @@
   for (HostEntry& host : hosts) host.started_ms = bed.now - 1;
   bed.Hosts(hosts);
   for (int i = 0; i < 200; ++i) bed.Request(kUnsafeClass);
-  EXPECT_EQ(bed.out.refused.size() + bed.out.sends.size(), 200u);  // none is held
+  EXPECT_EQ(bed.out.refused.size() + bed.out.sends.size(), 200u);  // none is left waiting
   EXPECT_GT(bed.out.refused.size(), 100u);
 }
 
@@ -169,7 +169,7 @@
     s.max_retry_after_ms = longest;
     Bed bed(s);
     bed.Hosts(TestHosts(1));
-    for (int i = 0; i < 100; ++i) bed.Request(kUnsafeClass);  // more than the host may hold
+    for (int i = 0; i < 100; ++i) bed.Request(kUnsafeClass);  // more than the host may have in flight
     EXPECT_GT(bed.out.advice.size(), 50u);
     return bed.out.advice;
   };
--- a/tests/cartspring/rules_test.cpp
+++ b/tests/cartspring/rules_test.cpp
@@ -1,4 +1,5 @@
-// The four rules, each case by itself.
+// The four rules, case by case: no request is lost, no effect happens twice, drains are respected, and cold
+// hosts are not overloaded.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -123,7 +124,8 @@
   }
 }
 
-// Sends a keyed request again and again, each attempt failing as `outcome`; returns the hosts it went to.
+// Lets every attempt of a keyed request end with `outcome`, `pause` ms after it was sent; returns the hosts
+// that it went to.
 std::vector<std::string> KeyedHosts(RepeatGroup group, Outcome outcome, double pause, double window) {
   Settings settings = TestSettings();
   settings.classes[kKeyedClass].group = group;
@@ -161,8 +163,8 @@
 }
 
 TEST(NoEffectTwice, NoRepeatPastTheWindowOfTheEarliestAttempt) {
-  // 60 ms apart, 100 ms of memory: the second attempt is within, the third is not, though it is 60 ms behind
-  // the second.
+  // Attempts 60 ms apart with a window of 100 ms: the second is within it. The third is not, although it is
+  // only 60 ms after the second.
   EXPECT_EQ(KeyedHosts(RepeatGroup::kCell, Outcome::kError, 60, 100).size(), 2u);
   EXPECT_EQ(KeyedHosts(RepeatGroup::kAll, Outcome::kError, 60, 100).size(), 2u);
 }
@@ -183,7 +185,7 @@
       bed.End(id, 0, outcome);
       bed.PassTo(sent_ms + 60);
       EXPECT_EQ(bed.out.sends.front().out_by_ms, kNoBound);
-      if (klass == kUnsafeClass && outcome == Outcome::kError) continue;  // it has no second attempt
+      if (klass == kUnsafeClass && outcome == Outcome::kError) continue;  // it gets no second attempt
       ASSERT_EQ(bed.out.sends.size(), 2u);
       const bool bound = klass == kKeyedClass && outcome == Outcome::kError;
       EXPECT_EQ(bed.out.sends.back().out_by_ms, bound ? sent_ms + 300 : kNoBound);
@@ -219,7 +221,7 @@
   EXPECT_EQ(bed.out.Answers(id), 1);
 }
 
-// Requests until `count` sends have been seen; the hosts they went to.
+// Sends `count` requests; returns the hosts that they went to.
 std::set<std::string> HostsInUse(Bed& bed, int count) {
   const std::size_t before = bed.out.sends.size();
   for (int i = 0; i < count; ++i) {
@@ -275,7 +277,8 @@
   EXPECT_EQ(bed.out.sends[0].host, "b");
 }
 
-// The share of sends that go to one host started `age` ago, which reports nothing to do, beside busy ones.
+// The share of requests that go to host "a", which started `age` ms ago (negative: long ago) and reports no
+// load, while the other hosts report that they are busy.
 double ColdShare(double age, int hosts) {
   Settings settings = TestSettings();
   settings.cold_from = 0.2;
@@ -297,7 +300,8 @@
 }
 
 TEST(ColdHostsNotPushedOver, AnIdleColdHostGetsLessThanItCanBearOfAllInstancesTogether) {
-  // Each instance keeps it to its fair share times half the multiple times its warmth: 1.5 x 0.2 / 10.
+  // Each instance limits the cold host to its fair share x half of fall_multiple x its warmth: 1.5 x 0.2
+  // / 10.
   const double cold = ColdShare(0, 10);
   EXPECT_GT(cold, 0.005);
   EXPECT_LT(cold, 0.045);
@@ -307,11 +311,12 @@
   const double young = ColdShare(0, 10), half = ColdShare(4000, 10), warm = ColdShare(9000, 10);
   EXPECT_LT(young, half);
   EXPECT_LT(half, 0.135);
-  EXPECT_GT(warm, 0.5);  // warm, and least loaded by far
+  EXPECT_GT(warm, 0.5);  // warm, and by far the least loaded
 }
 
 TEST(ColdHostsNotPushedOver, AColdHostGetsItsShareThoughItLooksSlow) {
-  // Cold, it takes long and holds much for its size: ranked by that, it would idle till it is warm.
+  // A cold host answers slowly and has many requests in flight for its capacity. Ranked by these it would get
+  // nothing until it is warm.
   Settings settings = TestSettings();
   settings.cold_from = 0.2;
   Bed bed(settings);
@@ -321,21 +326,22 @@
   bed.Hosts(list);
   int cold = 0, again = 0;
   for (int i = 0; i < 4000; ++i) {
-    // Every second one is a client's retry, which comes with less time and draws for no cold host.
+    // Every second request is a client's retry, recognisable by less time left; retries never go to
+    // cold hosts.
     const RequestId id = bed.Request(kSafeClass, i % 2 == 0 ? 800 : 500);
     const bool on_cold = bed.out.sends.back().id == id && bed.out.sends.back().host == "a";
     cold += on_cold && i % 2 == 0;
     again += on_cold && i % 2 != 0;
     bed.End(id, 0, Outcome::kServed, true, on_cold ? 200 : 20, on_cold ? 2 : 1);
   }
-  EXPECT_GT(cold, 20);  // kept with 0.2 x 1.5 / 10, of 2000
+  EXPECT_GT(cold, 20);  // of 2000, each with chance 0.2 x 1.5 / 10
   EXPECT_LT(cold, 110);
   EXPECT_EQ(again, 0);
 }
 
 TEST(ColdHostsNotPushedOver, NeitherRetriesNorLaterLooksDrawForItAgain) {
-  // A cold host beside one that cannot be reached: each request may be kept by it once, with 0.2 x 1.5 / 2,
-  // however often it looks for a host until its end.
+  // A cold host beside an unreachable one: a request draws once for the cold host, with chance 0.2 x 1.5 / 2,
+  // however often it is considered again before its deadline.
   int kept_cold = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Settings settings = TestSettings();
@@ -368,7 +374,7 @@
     cold += bed.out.sends.back().host == "a";
     bed.End(id, 0, Outcome::kServed, true, 20, bed.out.sends.back().host == "a" ? 0 : 9);
   }
-  EXPECT_LT(cold, 300);  // 0.3 x 1.5 / 2 of 1000
+  EXPECT_LT(cold, 300);  // of 1000, each with chance 0.3 x 1.5 / 2
 }
 
 TEST(ColdHostsNotPushedOver, WhenAllAreColdRequestsWaitOrAreRefusedRatherThanPushed) {
@@ -383,7 +389,7 @@
   for (int i = 0; i < 400; ++i) ids.push_back(bed.Request(kSafeClass));
   const std::size_t at_once = bed.out.sends.size();
   EXPECT_GT(at_once, 5u);
-  EXPECT_LT(at_once, 120u);  // ten hosts, each kept with 0.1 x 1.5 / 10
+  EXPECT_LT(at_once, 120u);  // ten hosts, each with chance 0.1 x 1.5 / 10
   bed.PassTo(bed.now + 1000);
   for (const RequestId id : ids) {
     const bool sent = std::any_of(bed.out.sends.begin(), bed.out.sends.end(),
--- a/tests/cartspring/steps_test.cpp
+++ b/tests/cartspring/steps_test.cpp
@@ -1,4 +1,4 @@
-// The steps of a decision, each alone: the bounds that their headers state.
+// Unit tests of the steps of a decision: the bounds that their headers state.
 #include <gtest/gtest.h>
 
 #include "cartspring/beliefs.h"
@@ -14,10 +14,10 @@
     HostEntry entry;
     entry.host = "host-" + std::to_string(day);
     hosts.Take({entry}, true);
-    if (day == 0) hosts[hosts.RowOf("host-0")].held = 1;  // an attempt whose request is not over
+    if (day == 0) hosts[hosts.RowOf("host-0")].held = 1;  // an attempt of an unfinished request
   }
   EXPECT_EQ(hosts[hosts.RowOf("host-0")].entry.host, "host-0");
-  EXPECT_LE(hosts.size(), 3);  // the one that is held, the one before and the one that takes its place
+  EXPECT_LE(hosts.size(), 3);  // the one in use, the previous one and the one that replaces it
 }
 
 TEST(Steps, APauseStaysWithinThePatienceOfTheMostPatientClass) {
@@ -48,17 +48,19 @@
   EXPECT_NEAR(ratio(), 1, 1e-6);
 }
 
-// Some hosts of a kind are forty times slower than the others: that is theirs, and not the kind's.
+// A fifth of the outcomes of a host kind are forty times slower than the rest: this must be attributed to the
+// single hosts, not to the kind.
 TEST(Steps, AFifthOfTheOutcomesFarOffDoesNotCarryTheLevelOfTheirKindAway) {
   Context ctx{TestSettings(), Random(1)};
   Estimates estimates(ctx);
-  std::vector<Host> hosts(300);  // of each the instance sees little
+  std::vector<Host> hosts(300);  // the instance sees only two outcomes of each
   for (std::size_t i = 0; i < 600; ++i)
     estimates.LearnTime(kSafeClass, hosts[i % hosts.size()], 1, 1, i % 5 == 0 ? 2000 : 50);
   EXPECT_LT(estimates.Expected(kSafeClass, Host(), 1, 1), 150);
 }
 
-// Else what is sent next would be cut, and held against its host, after six times next to nothing.
+// Otherwise the next attempts would time out after six times a very short expected time, and the time-outs
+// would count against their hosts.
 TEST(Steps, OneVeryQuickAnswerIsBelievedWithinABound) {
   Context ctx{TestSettings(), Random(1)};
   Estimates estimates(ctx);
@@ -99,7 +101,7 @@
   }
 }
 
-// Which hosts are ready, told from all of them.
+// Reference for Health::Ready(): which hosts are ready, computed by a scan over all of them.
 std::vector<int> ReadyByHand(const Context& ctx, const HostTable& hosts, const Health& health) {
   std::vector<int> ready, all;
   std::size_t well = 0;
@@ -130,7 +132,7 @@
       --host.own;
       health.Weigh(host, host.unreached = ctx.random.Below(2 + step / 2000 % 4) == 0);
     } else if (ctx.random.Below(4) == 0) {
-      health.Weigh(host, true);  // a probe had no answer
+      health.Weigh(host, true);  // an unanswered probe
     }
     const auto ready = health.Ready(hosts, /*safe=*/true);
     std::vector<int> told;
--- a/tests/cartspring/walk_test.cpp
+++ b/tests/cartspring/walk_test.cpp
@@ -1,4 +1,5 @@
-// The walk: order, ties, the measured pass-over share, and what is ranked when little is known.
+// Host selection: ranking, ties, the share of best hosts that are passed over, and ranking with few or no
+// load reports.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,7 +17,7 @@
   return settings;
 }
 
-// One request at a host list whose loads are answered as given; the host it went to.
+// Sends one request while probes answer with the given loads; returns the host that it went to, if any.
 std::string Decide(Bed& bed, const std::map<std::string, double>& loads) {
   bed.now += 1000;  // older reports are no longer fresh
   bed.out.timers.clear();
@@ -37,7 +38,8 @@
   std::map<std::string, int> kept;
   const int requests = 20000;
   for (int i = 0; i < requests; ++i) ++kept[Decide(bed, {{"a", 5}, {"b", 1}, {"c", 20}})];
-  // r = 0.1, walks restarting: shares (1 - r) r^k / (1 - r^3).
+  // Each host is passed over with r = 0.1 and the selection starts over after the last: the k-th host gets a
+  // share of (1 - r) r^k / (1 - r^3).
   EXPECT_NEAR(kept["b"] / double(requests), 0.9 / 0.999, 0.01);
   EXPECT_NEAR(kept["a"] / double(requests), 0.09 / 0.999, 0.01);
   EXPECT_NEAR(kept["c"] / double(requests), 0.009 / 0.999, 0.004);
@@ -127,7 +129,7 @@
 }
 
 TEST(Walk, OwnSendsSinceTheReportCount) {
-  // Reports come with answers only: between two reports the own sends must spread.
+  // Reports come only with answers: between two reports the instance's own sends must spread the load.
   Bed bed(TestSettings());
   bed.Hosts(TestHosts(4));
   std::map<std::string, int> kept;
@@ -200,7 +202,7 @@
 
 }  // namespace
 
-// The hosts that an instance of a tier uses for its requests, one after another.
+// The hosts that an instance uses for this many requests, sent one after another.
 std::set<std::string> Used(Bed& bed, int requests) {
   std::set<std::string> used;
   for (int i = 0; i < requests; ++i) {
@@ -243,7 +245,8 @@
 }
 
 TEST(FirstContact, IsMadeBySafeRequestsAndNotByThoseThatMustNotRunTwice) {
-  // "a" is connected and holds some, "b" was last seen idle, and its connection is closed since.
+  // Host "a" has an open connection and some requests in flight; "b" was idle when last seen, but its
+  // connection has been closed since.
   const auto contacts = [](int klass) {
     Settings settings = TestSettings();
     settings.handshake_price = 0.05;
--- a/tests/simhost/wire_test.cpp
+++ b/tests/simhost/wire_test.cpp
@@ -1,4 +1,4 @@
-// The wire and the adapter: round trips, what is skipped, and malformed input.
+// The simulator's wire protocol and SimHost: parsing, writing, skipped messages and malformed input.
 #include "simhost/wire.h"
 
 #include <gtest/gtest.h>
