--- a/src/simhost/simhost.cpp
+++ b/src/simhost/simhost.cpp
@@ -32,7 +32,7 @@
 }
 
 void SimHost::Handle(const wire::Line& line, std::ostream& errors) {
-  if (rows_owed_ > 0 && line.kind() != Kind::kListRow) throw ParseError("a list is short of rows");
+  if (rows_remaining_ > 0 && line.kind() != Kind::kListRow) throw ParseError("a list is short of rows");
   if (line.kind() == Kind::kBatchOpen) {
     if (in_batch_) throw ParseError("a batch opens within a batch");
     const wire::BatchOpen open = wire::ReadBatchOpen(line);
@@ -52,13 +52,13 @@
       if (number >= lists_.size())
         throw ParseError("list number " + std::to_string(number) + " is too large");
       open_list_ = &lists_[number].emplace();
-      rows_owed_ = wire::ReadListRows(line);
+      rows_remaining_ = wire::ReadListRows(line);
       return;
     }
     case Kind::kListRow:
-      if (rows_owed_ == 0) throw ParseError("a row that belongs to no list");
+      if (rows_remaining_ == 0) throw ParseError("a row that belongs to no list");
       open_list_->push_back(wire::ReadHostEntry(line));
-      --rows_owed_;
+      --rows_remaining_;
       return;
     case Kind::kUnknown:
       return;
@@ -96,12 +96,12 @@
       return DeliverHosts(line, balancer);
     case Kind::kRequest:
       return balancer.OnRequest(now_ms_, wire::ReadRequest(line));
-    case Kind::kBegun: {
-      const auto [id, attempt] = wire::ReadBegun(line);
+    case Kind::kStreamBegun: {
+      const auto [id, attempt] = wire::ReadStreamBegun(line);
       return balancer.OnStreamBegun(now_ms_, id, attempt);
     }
     case Kind::kOutcome: {
-      const wire::Ended ended = wire::ReadOutcome(line);
+      const wire::AttemptOutcome ended = wire::ReadOutcome(line);
       return balancer.OnOutcome(now_ms_, ended.id, ended.attempt, ended.outcome, ended.request_over,
                                 ended.took_ms, ended.report ? &*ended.report : nullptr);
     }
@@ -109,8 +109,8 @@
       return balancer.OnClientGone(now_ms_, wire::ReadClientGone(line));
     case Kind::kTimer:
       return balancer.OnTimer(now_ms_, wire::ReadTimer(line));
-    case Kind::kProbed: {
-      const wire::Probed probed = wire::ReadProbed(line);
+    case Kind::kProbeResult: {
+      const wire::ProbeResult probed = wire::ReadProbeResult(line);
       return balancer.OnProbeResult(now_ms_, probed.host, probed.answered, probed.took_ms,
                                     probed.report ? &*probed.report : nullptr);
     }
--- a/src/simhost/simhost.h
+++ b/src/simhost/simhost.h
@@ -39,7 +39,7 @@
   std::unordered_map<std::string, std::unique_ptr<Instance>> instances_;  // never iterated over
   std::array<std::optional<std::vector<HostEntry>>, 16> lists_;           // the protocol numbers them 0 to 15
   std::vector<HostEntry>* open_list_ = nullptr;  // the list whose rows are being read
-  std::uint64_t rows_owed_ = 0;                  // rows of it still to come
+  std::uint64_t rows_remaining_ = 0;             // rows of it still to come
   bool in_batch_ = false;
   double now_ms_ = 0;
   std::string turn_;
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -15,11 +15,11 @@
     {"ROW", Kind::kListRow},
     {"SYNC", Kind::kHosts},
     {"WORK_ITEM", Kind::kRequest},
-    {"BEGUN", Kind::kBegun},
+    {"BEGUN", Kind::kStreamBegun},
     {"RESPONSE", Kind::kOutcome},
     {"CLIENT_GONE", Kind::kClientGone},
     {"RING", Kind::kTimer},
-    {"PROBE_RESULT", Kind::kProbed},
+    {"PROBE_RESULT", Kind::kProbeResult},
 }};
 
 constexpr std::array<std::pair<std::string_view, Outcome>, 8> kOutcomes = {{
@@ -134,8 +134,8 @@
   return out;
 }
 
-Ended ReadOutcome(const Line& line) {
-  Ended out;
+AttemptOutcome ReadOutcome(const Line& line) {
+  AttemptOutcome out;
   out.id = line.Whole("corr");
   out.attempt = ToIndex(line.Whole("seqNo"), "seqNo");
   out.outcome = Lookup(kOutcomes, line.Text("outcome"), "outcome");
@@ -145,15 +145,15 @@
   return out;
 }
 
-std::pair<RequestId, int> ReadBegun(const Line& line) {
+std::pair<RequestId, int> ReadStreamBegun(const Line& line) {
   return {line.Whole("corr"), ToIndex(line.Whole("seqNo"), "seqNo")};
 }
 
 RequestId ReadClientGone(const Line& line) { return line.Whole("corr"); }
 std::uint64_t ReadTimer(const Line& line) { return line.Whole("ctx"); }
 
-Probed ReadProbed(const Line& line) {
-  Probed out;
+ProbeResult ReadProbeResult(const Line& line) {
+  ProbeResult out;
   out.host = line.Text("host");
   out.answered = line.Text("outcome") == "served";
   out.took_ms = line.Number("tookMs", 0);
--- a/src/simhost/wire.h
+++ b/src/simhost/wire.h
@@ -28,11 +28,11 @@
   kListRow,
   kHosts,
   kRequest,
-  kBegun,
+  kStreamBegun,
   kOutcome,
   kClientGone,
   kTimer,
-  kProbed,
+  kProbeResult,
   kUnknown,
 };
 
@@ -65,7 +65,7 @@
   std::uint64_t list = 0;
 };
 // The outcome of an attempt.
-struct Ended {
+struct AttemptOutcome {
   RequestId id = 0;
   int attempt = 0;
   Outcome outcome = Outcome::kTimeout;
@@ -74,7 +74,7 @@
   std::optional<LoadReport> report;
 };
 // The result of a probe.
-struct Probed {
+struct ProbeResult {
   std::string host;
   bool answered = false;
   double took_ms = 0;
@@ -90,11 +90,11 @@
 HostEntry ReadHostEntry(const Line& line);
 Hosts ReadHosts(const Line& line);
 Request ReadRequest(const Line& line);
-Ended ReadOutcome(const Line& line);
-std::pair<RequestId, int> ReadBegun(const Line& line);
+AttemptOutcome ReadOutcome(const Line& line);
+std::pair<RequestId, int> ReadStreamBegun(const Line& line);
 RequestId ReadClientGone(const Line& line);
 std::uint64_t ReadTimer(const Line& line);
-Probed ReadProbed(const Line& line);
+ProbeResult ReadProbeResult(const Line& line);
 
 // Appends the actions of one balancer instance to a reply.
 class ReplyWriter : public ActionSink {
--- a/tests/cartspring/allocations_test.cpp
+++ b/tests/cartspring/allocations_test.cpp
@@ -28,7 +28,7 @@
 namespace cartspring {
 namespace {
 
-struct LastSend : ActionSink {
+struct CountingSink : ActionSink {
   void Send(RequestId, const std::string&, double, double) override { ++sent; }
   void Cancel(RequestId, int) override {}
   void Refuse(RequestId, double) override {}
@@ -43,8 +43,8 @@
 
 // The mean number of allocations for a request that is sent and served, after a warm-up in which all tables
 // reach their final size.
-double AllocationsADecision(int names) {
-  constexpr int kWarm = 5000, kCounted = 2000;
+double AllocationsPerDecision(int host_count) {
+  constexpr int kWarmUpRequests = 5000, kCountedRequests = 2000;
   Settings settings;
   RequestClass klass;
   klass.aim_ms = 300;
@@ -52,16 +52,16 @@
   settings.classes.push_back(klass);
   settings.max_attempts = 3;
   settings.tick_ms = 1;
-  settings.balancers = names;
-  LastSend sink;
+  settings.balancers = host_count;
+  CountingSink sink;
   Balancer balancer(settings, 1, sink);
-  std::vector<HostEntry> hosts(static_cast<std::size_t>(names));
+  std::vector<HostEntry> hosts(static_cast<std::size_t>(host_count));
   for (std::size_t i = 0; i < hosts.size(); ++i) hosts[i].host = "host-" + std::to_string(i);
   double now = 1000;
   balancer.OnHostList(now, hosts, false);
   std::size_t before = 0;
-  for (int i = 0; i < kWarm + kCounted; ++i) {
-    if (i == kWarm) before = allocations;
+  for (int i = 0; i < kWarmUpRequests + kCountedRequests; ++i) {
+    if (i == kWarmUpRequests) before = allocations;
     now += 20;
     Request request;
     request.id = static_cast<RequestId>(i + 1);
@@ -69,13 +69,13 @@
     balancer.OnRequest(now, request);
     balancer.OnOutcome(now + 5, request.id, 0, Outcome::kServed, true, 5, nullptr);
   }
-  EXPECT_EQ(sink.sent, kWarm + kCounted);
-  return static_cast<double>(allocations - before) / kCounted;
+  EXPECT_EQ(sink.sent, kWarmUpRequests + kCountedRequests);
+  return static_cast<double>(allocations - before) / kCountedRequests;
 }
 
-TEST(Allocations, ADecisionTakesNoneWhateverTheNumberOfNames) {
-  EXPECT_EQ(AllocationsADecision(8), 0);
-  EXPECT_EQ(AllocationsADecision(630), 0);
+TEST(Allocations, ADecisionMakesNoneWhateverTheNumberOfHosts) {
+  EXPECT_EQ(AllocationsPerDecision(8), 0);
+  EXPECT_EQ(AllocationsPerDecision(630), 0);
   EXPECT_GT(allocations, 630U);  // the counter works: the host list alone takes as many
 }
 
--- a/tests/cartspring/exhaustive_test.cpp
+++ b/tests/cartspring/exhaustive_test.cpp
@@ -15,25 +15,26 @@
   kAskSafe,
   kAskKeyed,
   kAskUnsafe,
-  kDrain,      // b starts draining
-  kColdStart,  // c restarts
-  kListShort,  // a complete list without host a
-  kTimeOut,    // of the oldest attempt in flight
-  kLost,       // the oldest attempt's connection breaks
-  kDeclined,   // the oldest attempt is refused by its host: it never ran
-  kLeave,      // the client of the oldest open request goes away
-  kPass,       // 120 ms pass
-  kEvents,
-  kServed = kEvents,  // only in the burst test
+  kDrain,            // b starts draining
+  kColdStart,        // c restarts
+  kRemoveHost,       // a complete list without host a
+  kTimeOut,          // the oldest attempt in flight times out
+  kBreakConnection,  // the oldest attempt's connection breaks
+  kRefuse,           // the oldest attempt is refused by its host: it never ran
+  kClientLeaves,     // the client of the oldest open request goes away
+  kAdvanceTime,      // 120 ms pass
+  kEventCount,
+  kServed = kEventCount,  // only in the burst test
 };
 constexpr int kDepth = 7;
-constexpr std::uint64_t kOrdersEach = 10 * 9 * 8 * 7 * 6 * 5;  // for each first event
+constexpr std::uint64_t kOrdersPerFirstEvent = 10 * 9 * 8 * 7 * 6 * 5;
 
-class Fleet {
+class EventPlayer {
  public:
-  Fleet(std::uint64_t seed, Reporting reporting) : bed_(Settings(reporting), seed), hosts_(TestHosts(3)) {
+  EventPlayer(std::uint64_t seed, Reporting reporting)
+      : bed_(Settings(reporting), seed), hosts_(TestHosts(3)) {
     hosts_[2].zone = 1;
-    List();
+    SendHostList();
   }
 
   void Play(int event) {
@@ -49,30 +50,30 @@
       case kColdStart:
         Change(2, HostState::kLive, bed_.now);
         break;
-      case kListShort:
+      case kRemoveHost:
         hosts_.erase(hosts_.begin());
         book_.Told("a", false, 0, 0);
-        List();
+        SendHostList();
         break;
       case kTimeOut:
         EndOldest(Outcome::kTimeout);
         break;
-      case kLost:
+      case kBreakConnection:
         EndOldest(Outcome::kConnectionLost);
         break;
-      case kDeclined:
+      case kRefuse:
         EndOldest(Outcome::kRefusedByHost);
         break;
-      case kLeave:
-        Leave();
+      case kClientLeaves:
+        DepartOldestClient();
         break;
       case kServed:
         EndOldest(Outcome::kServed);
         break;
       default:
-        PassTo(bed_.now + 120);
+        AdvanceTo(bed_.now + 120);
     }
-    Note();
+    RecordActions();
   }
   void Ask(int klass) {
     book_.Asked(bed_.last_id + 1, static_cast<rules::Effect>(klass), bed_.now + 800);
@@ -80,12 +81,12 @@
   }
   // Runs until every open request has ended; returns the breaches of the rules.
   const std::vector<std::string>& Finish() {
-    PassTo(bed_.now + 900);
+    AdvanceTo(bed_.now + 900);
     return book_.breaches();
   }
 
  private:
-  struct Out {
+  struct AttemptInFlight {
     RequestId id;
     int number;
     double until, sent;
@@ -97,38 +98,38 @@
     s.classes[kKeyedClass].group = RepeatGroup::kZone;
     return s;
   }
-  static bool Proof(Outcome outcome) {
+  static bool ProvesNeverRan(Outcome outcome) {
     return outcome == Outcome::kRefusedByHost || outcome == Outcome::kConnectFailed ||
            outcome == Outcome::kNotSent;
   }
 
-  void List() {
-    for (const HostEntry& host : hosts_) Tell(host);
-    bed_.Hosts(hosts_);
-    Note();
+  void SendHostList() {
+    for (const HostEntry& host : hosts_) RecordHost(host);
+    bed_.SetHosts(hosts_);
+    RecordActions();
   }
-  void Tell(const HostEntry& host) {
+  void RecordHost(const HostEntry& host) {
     book_.Told(host.host, host.state == HostState::kLive, host.zone, host.started_ms);
   }
-  void Change(std::size_t from_end_of_three, HostState state, double started) {
-    HostEntry& host = hosts_[hosts_.size() - (3 - from_end_of_three)];  // host a may be gone
+  void Change(std::size_t original_index, HostState state, double started) {
+    HostEntry& host = hosts_[hosts_.size() - (3 - original_index)];  // host a may be gone
     host.state = state;
     if (started > 0) host.started_ms = started;
-    Tell(host);
+    RecordHost(host);
     bed_.balancer.OnHostChanges(bed_.now, {host});
   }
 
   void EndOldest(Outcome outcome) {
-    if (out_.empty()) return;
-    const Out ended = out_.front();
-    out_.erase(out_.begin());
+    if (in_flight_.empty()) return;
+    const AttemptInFlight ended = in_flight_.front();
+    in_flight_.erase(in_flight_.begin());
     const bool served = outcome == Outcome::kServed;
-    book_.Ended(ended.id, ended.number, Proof(outcome), served);
+    book_.Ended(ended.id, ended.number, ProvesNeverRan(outcome), served);
     if (served) book_.Answered(bed_.now, ended.id, rules::Answer::kServed);
-    bed_.End(ended.id, ended.number, outcome, served, bed_.now - ended.sent);
-    Note();
+    bed_.EndAttempt(ended.id, ended.number, outcome, served, bed_.now - ended.sent);
+    RecordActions();
   }
-  void Leave() {
+  void DepartOldestClient() {
     for (RequestId id = 1; id <= bed_.last_id; ++id) {
       if (!book_.IsOpen(id)) continue;
       book_.Left(id);
@@ -138,31 +139,33 @@
   }
   // Attempts time out before the balancer's timers of the same time fire, as in the sidecar. With reports by
   // probe no time-out is delivered here, so the balancer has to end its requests by its own timers.
-  void PassTo(double until) {
+  void AdvanceTo(double until) {
     while (true) {
       double next = bed_.out.timers.empty() ? until : bed_.out.timers.begin()->first;
-      const auto due = std::min_element(out_.begin(), out_.end(),
-                                        [](const Out& a, const Out& b) { return a.until < b.until; });
-      if (bed_.set.reporting != Reporting::kProbe && due != out_.end() &&
+      const auto due = std::min_element(
+          in_flight_.begin(), in_flight_.end(),
+          [](const AttemptInFlight& a, const AttemptInFlight& b) { return a.until < b.until; });
+      if (bed_.set.reporting != Reporting::kProbe && due != in_flight_.end() &&
           due->until <= std::min(next, until)) {
         bed_.now = std::max(bed_.now, due->until);
-        std::rotate(out_.begin(), due, due + 1);
+        std::rotate(in_flight_.begin(), due, due + 1);
         EndOldest(Outcome::kTimeout);
         continue;
       }
       if (next >= until) break;
-      bed_.PassTo(next);
-      Note();
+      bed_.AdvanceTo(next);
+      RecordActions();
     }
-    bed_.PassTo(until);
-    Note();
+    bed_.AdvanceTo(until);
+    RecordActions();
   }
   // Enters the balancer's actions since the last call into the record, in order.
-  void Note() {
+  void RecordActions() {
     for (; cancels_ < bed_.out.cancels.size(); ++cancels_) {
       const auto [id, number] = bed_.out.cancels[cancels_];
-      std::erase_if(
-          out_, [&, gone = id, which = number](const Out& o) { return o.id == gone && o.number == which; });
+      std::erase_if(in_flight_, [&, gone = id, which = number](const AttemptInFlight& o) {
+        return o.id == gone && o.number == which;
+      });
       book_.GivenUp(id, number);
     }
     for (; refused_ < bed_.out.refused.size(); ++refused_)
@@ -172,16 +175,16 @@
     for (; sends_ < bed_.out.sends.size(); ++sends_) {
       const auto& sent = bed_.out.sends[sends_];
       book_.Sent(bed_.now, sent.id, sent.host);
-      out_.push_back({sent.id, claims_[sent.id]++, sent.give_up_ms, bed_.now});
+      in_flight_.push_back({sent.id, attempt_counts_[sent.id]++, sent.give_up_ms, bed_.now});
     }
     book_.Review(bed_.now);
   }
 
-  Bed bed_;
+  TestBed bed_;
   rules::Book book_{rules::Figures{}};
   std::vector<HostEntry> hosts_;
-  std::vector<Out> out_;
-  std::map<RequestId, int> claims_;
+  std::vector<AttemptInFlight> in_flight_;
+  std::map<RequestId, int> attempt_counts_;
   std::size_t sends_ = 0, cancels_ = 0, refused_ = 0, failed_ = 0;
 };
 
@@ -192,20 +195,20 @@
   const auto [first, reporting] = GetParam();
   std::uint64_t number = 0;
   const std::uint64_t seen =
-      rules::ForEachOrder(kEvents, kDepth, first, [&, by = reporting](const std::vector<int>& order) {
-        Fleet fleet(++number, by);
-        for (const int event : order) fleet.Play(event);
-        const auto& breaches = fleet.Finish();
+      rules::ForEachOrder(kEventCount, kDepth, first, [&, by = reporting](const std::vector<int>& order) {
+        EventPlayer player(++number, by);
+        for (const int event : order) player.Play(event);
+        const auto& breaches = player.Finish();
         if (breaches.empty()) return;
         std::string events;
         for (const int event : order) events += " " + std::to_string(event);
         ADD_FAILURE() << breaches.front() << " in the order" << events << ", seed " << number;
       });
   std::cout << seen << " orders of " << kDepth << " events behind event " << first << "\n";
-  EXPECT_EQ(seen, kOrdersEach);
+  EXPECT_EQ(seen, kOrdersPerFirstEvent);
 }
 INSTANTIATE_TEST_SUITE_P(Behind, AllOrders,
-                         testing::Combine(testing::Range(0, static_cast<int>(kEvents)),
+                         testing::Combine(testing::Range(0, static_cast<int>(kEventCount)),
                                           testing::Values(Reporting::kAnswers, Reporting::kProbe)),
                          [](const auto& run) {
                            return "Event" + std::to_string(std::get<0>(run.param)) +
@@ -218,15 +221,15 @@
   for (int start = 0; start <= 12; ++start) {
     for (int drain = 0; drain <= 12; ++drain) {
       for (int klass : {kAskSafe, kAskUnsafe}) {
-        Fleet fleet(++number, Reporting::kAnswers);
+        EventPlayer player(++number, Reporting::kAnswers);
         for (int i = 0; i <= 12; ++i) {
-          if (i == start) fleet.Play(kColdStart);
-          if (i == drain) fleet.Play(kDrain);
+          if (i == start) player.Play(kColdStart);
+          if (i == drain) player.Play(kDrain);
           if (i == 12) continue;
-          fleet.Play(klass);
-          fleet.Play(kServed);
+          player.Play(klass);
+          player.Play(kServed);
         }
-        EXPECT_EQ(fleet.Finish(), std::vector<std::string>{}) << "start " << start << " drain " << drain;
+        EXPECT_EQ(player.Finish(), std::vector<std::string>{}) << "start " << start << " drain " << drain;
       }
     }
   }
--- a/tests/cartspring/fixture.h
+++ b/tests/cartspring/fixture.h
@@ -24,41 +24,41 @@
   };
   void Send(RequestId id, const std::string& host, double give_up_ms, double out_by_ms) override {
     sends.push_back({id, host, give_up_ms, out_by_ms});
-    Note("send " + std::to_string(id) + " " + host);
+    RecordAction("send " + std::to_string(id) + " " + host);
   }
   void Cancel(RequestId id, int attempt) override {
     cancels.emplace_back(id, attempt);
-    Note("cancel " + std::to_string(id));
+    RecordAction("cancel " + std::to_string(id));
   }
   void Refuse(RequestId id, double retry_after_ms) override {
     refused.push_back(id);
-    advice.push_back(retry_after_ms);
-    Note("refuse " + std::to_string(id));
+    retry_advice_ms.push_back(retry_after_ms);
+    RecordAction("refuse " + std::to_string(id));
   }
   void Fail(RequestId id) override {
     failed.push_back(id);
-    Note("fail " + std::to_string(id));
+    RecordAction("fail " + std::to_string(id));
   }
   void Probe(const std::string& host) override {
     probes.push_back(host);
-    Note("probe " + host);
+    RecordAction("probe " + host);
   }
   void Subscribe() override {
     ++subscriptions;
-    Note("subscribe");
+    RecordAction("subscribe");
   }
   void SetTimer(double at_ms, std::uint64_t token) override {
     timers.emplace(at_ms, token);
-    Note("timer " + std::to_string(at_ms));
+    RecordAction("timer " + std::to_string(at_ms));
   }
   void Log(const std::string& line) override {
     logs.push_back(line);
-    Note("log " + line);
+    RecordAction("log " + line);
   }
-  void Note(const std::string& line) { all.push_back(line); }
+  void RecordAction(const std::string& line) { actions.push_back(line); }
 
   // How many final answers (refused or failed) the request has received.
-  int Answers(RequestId id) const {
+  int AnswerCount(RequestId id) const {
     return static_cast<int>(std::count(refused.begin(), refused.end(), id) +
                             std::count(failed.begin(), failed.end(), id));
   }
@@ -66,8 +66,8 @@
   std::vector<Sent> sends;
   std::vector<std::pair<RequestId, int>> cancels;
   std::vector<RequestId> refused, failed;
-  std::vector<double> advice;  // of the refusals, in order: the retry_after_ms given
-  std::vector<std::string> probes, logs, all;
+  std::vector<double> retry_advice_ms;  // of the refusals, in order: the retry_after_ms given
+  std::vector<std::string> probes, logs, actions;
   std::multimap<double, std::uint64_t> timers;
   int subscriptions = 0;
 };
@@ -115,11 +115,11 @@
 }
 
 // A balancer under test with a simulated clock; its timers fire in order of time.
-struct Bed {
-  explicit Bed(const Settings& settings, std::uint64_t seed = 1)
+struct TestBed {
+  explicit TestBed(const Settings& settings, std::uint64_t seed = 1)
       : set(settings), balancer(settings, seed, out) {}
 
-  void Hosts(const std::vector<HostEntry>& hosts) { balancer.OnHostList(now, hosts, false); }
+  void SetHosts(const std::vector<HostEntry>& hosts) { balancer.OnHostList(now, hosts, false); }
   RequestId Request(int klass, double give_up_in = 800) {
     cartspring::Request request;
     request.id = ++last_id;
@@ -128,17 +128,17 @@
     balancer.OnRequest(now, request);
     return last_id;
   }
-  void End(RequestId id, int attempt, Outcome outcome, bool over = false, double took = 20,
-           double load = -1) {
+  void EndAttempt(RequestId id, int attempt, Outcome outcome, bool over = false, double took = 20,
+                  double load = -1) {
     const LoadReport report{load, -1};
     balancer.OnOutcome(now, id, attempt, outcome, over, took, load < 0 ? nullptr : &report);
   }
-  void Probed(const std::string& host, double load) {
+  void ReportProbe(const std::string& host, double load) {
     const LoadReport report{load, -1};
     balancer.OnProbeResult(now, host, true, 1, &report);
   }
   // Advances the clock and fires the timers that are due by then.
-  void PassTo(double until) {
+  void AdvanceTo(double until) {
     while (!out.timers.empty() && out.timers.begin()->first <= until) {
       const auto [at, token] = *out.timers.begin();
       out.timers.erase(out.timers.begin());
--- a/tests/cartspring/module_test.cpp
+++ b/tests/cartspring/module_test.cpp
@@ -10,51 +10,51 @@
 
 // Sends `count` requests; those to host a end with `outcome_of_a`, the others are served. Returns how many
 // went to host a.
-int SendsToA(Bed& bed, int count, Outcome outcome_of_a, double pause = 10) {
+int SendsToA(TestBed& bed, int count, Outcome outcome_of_a, double pause = 10) {
   int to_a = 0;
   for (int i = 0; i < count; ++i) {
     const RequestId id = bed.Request(kUnsafeClass);
     const bool a = bed.out.sends.back().host == "a";
     to_a += a;
-    bed.End(id, 0, a ? outcome_of_a : Outcome::kServed, !a, 20, a ? 0 : 3);
-    bed.PassTo(bed.now + pause);
+    bed.EndAttempt(id, 0, a ? outcome_of_a : Outcome::kServed, !a, 20, a ? 0 : 3);
+    bed.AdvanceTo(bed.now + pause);
   }
   return to_a;
 }
 
 TEST(Health, AHostThatErrsAtOnceIsSetAsideThoughItLooksIdle) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(4));
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(4));
   // Two seconds of requests. Without the health check nine tenths would go to the host that looks idle.
   EXPECT_LT(SendsToA(bed, 200, Outcome::kError), 8);
 }
 
-TEST(Health, ItComesBackAfterItAnswers) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(4));
+TEST(Health, AHostIsUsedAgainAfterItRecovers) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(4));
   SendsToA(bed, 100, Outcome::kError);
-  bed.PassTo(bed.now + 60000);
+  bed.AdvanceTo(bed.now + 60000);
   EXPECT_GT(SendsToA(bed, 200, Outcome::kServed), 100);
 }
 
 TEST(Health, BackoffGrowsWhileItGoesOnFailing) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(4));
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(4));
   const int first = SendsToA(bed, 1000, Outcome::kError);
   const int later = SendsToA(bed, 1000, Outcome::kError);
   EXPECT_GT(first, later);
   EXPECT_GT(later, 0);  // a few requests still go there, so that its recovery is noticed
 }
 
-TEST(Health, IfMostHostsLookIllTheViewIsSuspectedAndAllAreUsed) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(4));
+TEST(Health, IfMostHostsLookUnhealthyAllAreUsed) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(4));
   std::set<std::string> used;
   for (int i = 0; i < 100; ++i) {
     const RequestId id = bed.Request(kUnsafeClass);
     ASSERT_EQ(bed.out.sends.back().id, id) << "held although hosts are listed";
     if (i >= 50) used.insert(bed.out.sends.back().host);
-    bed.End(id, 0, Outcome::kError);
+    bed.EndAttempt(id, 0, Outcome::kError);
   }
   EXPECT_GE(used.size(), 2u);
 }
@@ -63,120 +63,121 @@
   // A host list that is some seconds old names four hosts that are gone and three that serve.
   Settings settings = TestSettings();
   settings.max_attempts = 3;
-  Bed bed(settings);
-  bed.Hosts(TestHosts(7));
+  TestBed bed(settings);
+  bed.SetHosts(TestHosts(7));
   int served = 0;
   for (int i = 0; i < 400; ++i) {
     const RequestId id = bed.Request(kUnsafeClass);
-    for (int attempt = 0; bed.out.Answers(id) == 0; ++attempt) {
+    for (int attempt = 0; bed.out.AnswerCount(id) == 0; ++attempt) {
       ASSERT_LT(attempt, 10);
-      const bool there = bed.out.sends.back().host >= "e";
-      bed.End(id, attempt, there ? Outcome::kServed : Outcome::kConnectFailed, there, there ? 20 : 0.2, 0);
-      if (!there) continue;
+      const bool reachable = bed.out.sends.back().host >= "e";
+      bed.EndAttempt(id, attempt, reachable ? Outcome::kServed : Outcome::kConnectFailed, reachable,
+                     reachable ? 20 : 0.2, 0);
+      if (!reachable) continue;
       served += i >= 100;
       break;
     }
-    bed.PassTo(bed.now + 5);
+    bed.AdvanceTo(bed.now + 5);
   }
   EXPECT_GT(served, 290);
 }
 
 TEST(Health, ASlowHostIsRankedBehindOthersOfTheSameLoad) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(4));
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(4));
   int to_a = 0;
   for (int i = 0; i < 400; ++i) {
     const RequestId id = bed.Request(kSafeClass);
     const bool a = bed.out.sends.back().host == "a";
     to_a += a;
-    bed.End(id, 0, Outcome::kServed, true, a ? 400 : 50, 2);
-    bed.PassTo(bed.now + 5);
+    bed.EndAttempt(id, 0, Outcome::kServed, true, a ? 400 : 50, 2);
+    bed.AdvanceTo(bed.now + 5);
   }
   EXPECT_LT(to_a, 40);  // an equal share would be 100
 }
 
-TEST(Health, AHostThatTakesRequestsAndSaysNothingGetsNoMoreOfThem) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(4));
+TEST(Health, AHostThatAcceptsRequestsButNeverAnswersGetsNoMore) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(4));
   int to_a = 0;
   for (int i = 0; i < 180; ++i) {
     const RequestId id = bed.Request(kUnsafeClass);
     if (bed.out.sends.back().host == "a" && i >= 100) {
       ++to_a;  // never answered; its time-out is far off
     } else {
-      bed.End(id, 0, Outcome::kServed, true, 5, bed.out.sends.back().host == "a" ? 0 : 6);
+      bed.EndAttempt(id, 0, Outcome::kServed, true, 5, bed.out.sends.back().host == "a" ? 0 : 6);
     }
-    bed.PassTo(bed.now + 5);
+    bed.AdvanceTo(bed.now + 5);
   }
   EXPECT_GT(to_a, 0);
   EXPECT_LT(to_a, 4);  // ranked by its low reported load alone it would get more
 }
 
-TEST(Health, WhereAnyHostSpoilsSomeAnswersOnlyOneThatFailsMoreIsLeftOut) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(4));
+TEST(Health, WhereAllHostsFailSometimesOnlyOneThatFailsMoreIsLeftOut) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(4));
   std::map<std::string, int> sends;
   for (int i = 0; i < 1000; ++i) {
     const RequestId id = bed.Request(kUnsafeClass);
     const std::string host = bed.out.sends.back().host;
     if (i >= 400) ++sends[host];
-    const bool spoilt = i % 20 == 0 || (host == "a" && i % 3 != 0);
-    bed.End(id, 0, spoilt ? Outcome::kConnectionLost : Outcome::kServed, !spoilt, 20, 2);
-    bed.PassTo(bed.now + 5);
+    const bool fails = i % 20 == 0 || (host == "a" && i % 3 != 0);
+    bed.EndAttempt(id, 0, fails ? Outcome::kConnectionLost : Outcome::kServed, !fails, 20, 2);
+    bed.AdvanceTo(bed.now + 5);
   }
   EXPECT_LT(sends["a"], 60);
   for (const char* host : {"b", "c", "d"}) EXPECT_GT(sends[host], 120) << host;
 }
 
-TEST(Health, ARequestThatMayRunAgainDoesNotWaitForASilentHostToItsEnd) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
+TEST(Health, ASafeRequestDoesNotWaitForASilentHostUntilItsDeadline) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
   for (int i = 0; i < 120; ++i) {
     const int klass = i % 2 == 0 ? kSafeClass : kUnsafeClass;
-    bed.End(bed.Request(klass), 0, Outcome::kServed, true, 10, 1);
-    bed.PassTo(bed.now + 5);
+    bed.EndAttempt(bed.Request(klass), 0, Outcome::kServed, true, 10, 1);
+    bed.AdvanceTo(bed.now + 5);
   }
   const RequestId unsafe = bed.Request(kUnsafeClass);
   ASSERT_EQ(bed.out.sends.back().id, unsafe);
   EXPECT_GT(bed.out.sends.back().give_up_ms, bed.now + 400);
-  bed.End(unsafe, 0, Outcome::kServed, true, 10, 1);
+  bed.EndAttempt(unsafe, 0, Outcome::kServed, true, 10, 1);
   const RequestId id = bed.Request(kSafeClass);
   const auto first = bed.out.sends.back();
   EXPECT_LT(first.give_up_ms, bed.now + 200);
-  bed.PassTo(first.give_up_ms);
-  bed.End(id, 0, Outcome::kTimeout, false, 100);
+  bed.AdvanceTo(first.give_up_ms);
+  bed.EndAttempt(id, 0, Outcome::kTimeout, false, 100);
   ASSERT_EQ(bed.out.sends.back().id, id);
   EXPECT_NE(bed.out.sends.back().host, first.host);
 }
 
-TEST(Health, IdsThatComeAndGoLeaveTheOnesInUseAlone) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(2));
+TEST(Health, HostChurnDoesNotAffectHostsInUse) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(2));
   const RequestId held = bed.Request(kSafeClass);
   const std::string first = bed.out.sends.back().host;
   for (int i = 0; i < 100; ++i) {
     auto hosts = TestHosts(1);
     hosts[0].host = "new-" + std::to_string(i);
-    bed.Hosts(hosts);  // all other hosts are gone from the list
+    bed.SetHosts(hosts);  // all other hosts are gone from the list
     const RequestId id = bed.Request(kUnsafeClass);
     EXPECT_EQ(bed.out.sends.back().host, hosts[0].host);
-    bed.End(id, 0, Outcome::kServed, true, 10, 1);
+    bed.EndAttempt(id, 0, Outcome::kServed, true, 10, 1);
     if (i < 4) continue;
-    EXPECT_THROW(bed.Probed("new-" + std::to_string(i - 3), 1), std::invalid_argument);
+    EXPECT_THROW(bed.ReportProbe("new-" + std::to_string(i - 3), 1), std::invalid_argument);
   }
-  bed.Probed(first, 1);  // known as long as its attempt is in flight
-  bed.End(held, 0, Outcome::kServed, true, 10, 1);
+  bed.ReportProbe(first, 1);  // known as long as its attempt is in flight
+  bed.EndAttempt(held, 0, Outcome::kServed, true, 10, 1);
 }
 
 TEST(Admission, RetriesAreBounded) {
   Settings settings = TestSettings();
-  Bed bed(settings);
-  bed.Hosts(TestHosts(10));
+  TestBed bed(settings);
+  bed.SetHosts(TestHosts(10));
   for (int i = 0; i < 300; ++i) {
     const RequestId id = bed.Request(kSafeClass);
-    for (int attempt = 0; attempt < 4 && bed.out.Answers(id) == 0; ++attempt) {
-      bed.End(id, attempt, Outcome::kError);
-      bed.PassTo(bed.now + 1);
+    for (int attempt = 0; attempt < 4 && bed.out.AnswerCount(id) == 0; ++attempt) {
+      bed.EndAttempt(id, attempt, Outcome::kError);
+      bed.AdvanceTo(bed.now + 1);
     }
   }
   // Every five requests allow one retry, and few retries were saved up.
@@ -184,35 +185,35 @@
   EXPECT_GT(bed.out.sends.size(), 330u);
 }
 
-TEST(Admission, UnderOverloadWhatCannotMakeItsAimIsRefusedUnsent) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
+TEST(Admission, UnderOverloadRequestsThatWouldMissTheirTargetAreRefusedUnsent) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
   int sent = 0;
   for (int i = 0; i < 200; ++i) {
     const std::size_t before = bed.out.sends.size();
     const RequestId id = bed.Request(kSafeClass);
     for (std::size_t k = before; k < bed.out.sends.size(); ++k) {
       ++sent;
-      bed.End(id, static_cast<int>(k - before), Outcome::kTimeout, false, 499, 60);
+      bed.EndAttempt(id, static_cast<int>(k - before), Outcome::kTimeout, false, 499, 60);
     }
-    bed.PassTo(bed.now + 550);
-    EXPECT_EQ(bed.out.Answers(id), 1);
+    bed.AdvanceTo(bed.now + 550);
+    EXPECT_EQ(bed.out.AnswerCount(id), 1);
   }
   EXPECT_LT(sent, 150);
 }
 
-TEST(Admission, ARequestHintedToBeHeavyIsRefusedWhereAUsualOneIsTakenOn) {
+TEST(Admission, ARequestHintedToBeHeavyIsRefusedWhereAUsualOneIsAccepted) {
   for (const double hint : {10.0, 200.0}) {
-    Bed bed(TestSettings());
-    bed.Hosts(TestHosts(1));
+    TestBed bed(TestSettings());
+    bed.SetHosts(TestHosts(1));
     Request request;
     request.work_hint_ms = 10;
     for (RequestId id = 1; id <= 40; ++id) {
       request.id = id;
       request.give_up_ms = bed.now + 800;
       bed.balancer.OnRequest(bed.now, request);
-      bed.End(id, 0, Outcome::kServed, true, 120, 2);
-      bed.PassTo(bed.now + 1);
+      bed.EndAttempt(id, 0, Outcome::kServed, true, 120, 2);
+      bed.AdvanceTo(bed.now + 1);
     }
     request.id = 41;
     request.work_hint_ms = hint;
@@ -221,55 +222,55 @@
   }
 }
 
-TEST(Admission, OneClassesTimeOutsDoNotShutAnotherClassOut) {
+TEST(Admission, TimeOutsOfOneClassDoNotBlockAnother) {
   // Incident i137d5a: the outcomes of one class must not change the time expected of another.
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
   for (int i = 0; i < 60; ++i) {
-    bed.End(bed.Request(kUnsafeClass), 0, Outcome::kServed, true, 40, 2);
+    bed.EndAttempt(bed.Request(kUnsafeClass), 0, Outcome::kServed, true, 40, 2);
     const std::size_t before = bed.out.sends.size();
     const RequestId id = bed.Request(kSafeClass);
     for (std::size_t k = before; k < bed.out.sends.size(); ++k) {
-      bed.End(id, static_cast<int>(k - before), Outcome::kTimeout, false, 499, 2);
+      bed.EndAttempt(id, static_cast<int>(k - before), Outcome::kTimeout, false, 499, 2);
     }
-    bed.PassTo(bed.now + 600);
+    bed.AdvanceTo(bed.now + 600);
   }
   const std::size_t before = bed.out.sends.size();
-  for (int i = 0; i < 10; ++i) bed.End(bed.Request(kUnsafeClass), 0, Outcome::kServed, true, 40, 2);
+  for (int i = 0; i < 10; ++i) bed.EndAttempt(bed.Request(kUnsafeClass), 0, Outcome::kServed, true, 40, 2);
   EXPECT_EQ(bed.out.sends.size(), before + 10);
 }
 
-TEST(Admission, AClientsRetryPastItsAimIsNotWorkedOn) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
-  for (int i = 0; i < 5; ++i) bed.End(bed.Request(kSafeClass, 1000), 0, Outcome::kServed, true);
+TEST(Admission, AClientsRetryPastItsTargetLatencyIsRefused) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
+  for (int i = 0; i < 5; ++i) bed.EndAttempt(bed.Request(kSafeClass, 1000), 0, Outcome::kServed, true);
   const std::size_t before = bed.out.sends.size();
   // The class has a deadline of 1000 ms: with 400 ms left the request began 600 ms ago, which is past the
   // target latency of 500 ms.
   const RequestId id = bed.Request(kSafeClass, 400);
-  bed.PassTo(bed.now + 1);
+  bed.AdvanceTo(bed.now + 1);
   EXPECT_EQ(bed.out.sends.size(), before);
   EXPECT_EQ(bed.out.refused, std::vector<RequestId>{id});
 }
 
-TEST(Admission, FirstTriesAreToldFromARetryThatComesWithMoreTimeThanThey) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
+TEST(Admission, FirstTriesAreDistinguishedFromARetryWithMoreTime) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
   for (int i = 0; i < 20; ++i) {
     // Clients give a first try 450 of the 1000 ms in all; the retry after an early refusal gets all the rest.
-    bed.End(bed.Request(kSafeClass, i == 5 ? 950 : 450), 0, Outcome::kServed, true, 20, 3);
+    bed.EndAttempt(bed.Request(kSafeClass, i == 5 ? 950 : 450), 0, Outcome::kServed, true, 20, 3);
     ASSERT_EQ(bed.out.sends.size(), static_cast<std::size_t>(i) + 1);
   }
 }
 
-TEST(Admission, ARequestWithLittleTimeIsTakenOnWhereItCanStillBeServedForSomething) {
+TEST(Admission, ARequestWithLittleTimeIsAcceptedWhereALateAnswerHasWorth) {
   Settings settings = TestSettings();
   settings.classes[kSafeClass].late_worth = 0.5;
-  Bed bed(settings);
-  bed.Hosts(TestHosts(3));
+  TestBed bed(settings);
+  bed.SetHosts(TestHosts(3));
   for (int i = 0; i < 60; ++i) {
-    bed.End(bed.Request(kSafeClass), 0, Outcome::kServed, true, 20, 2);
-    bed.PassTo(bed.now + 25);
+    bed.EndAttempt(bed.Request(kSafeClass), 0, Outcome::kServed, true, 20, 2);
+    bed.AdvanceTo(bed.now + 25);
   }
   // It has 150 of 1000 ms left: if it is a retry, its target latency has passed.
   const RequestId id = bed.Request(kSafeClass, 150);
@@ -284,20 +285,20 @@
 
 // In a large tier each instance has at most one request in flight at a host, so a limit on that number does
 // not help.
-TEST(Pace, WhereAnswersComeLateAMemberOfALargeTierTakesLessOnAndASmallOneDoesAsEver) {
+TEST(Pace, LateAnswersReduceAdmissionInALargeTierAndNotInASmallOne) {
   for (const int balancers : {4, 100}) {
     Settings settings = TestSettings();
     settings.balancers = balancers;
-    Bed bed(settings);
-    bed.Hosts(TestHosts(60));
+    TestBed bed(settings);
+    bed.SetHosts(TestHosts(60));
     int sent = 0;
     for (int i = 0; i < 60; ++i) {
       const std::size_t before = bed.out.sends.size();
       const RequestId id = bed.Request(kSafeClass, 1000);
       if (bed.out.sends.size() == before) continue;  // refused at once
       ++sent;
-      bed.PassTo(bed.now + 120);  // a quarter of the target latency
-      bed.End(id, 0, Outcome::kServed, true, 120, 1);
+      bed.AdvanceTo(bed.now + 120);  // a quarter of the target latency
+      bed.EndAttempt(id, 0, Outcome::kServed, true, 120, 1);
     }
     EXPECT_GE(sent, balancers == 4 ? 60 : 6) << balancers;  // some are always sent, to measure
     EXPECT_LE(sent, balancers == 4 ? 60 : 30) << balancers;
@@ -305,14 +306,14 @@
 }
 
 // Cold hosts always answer late; this must not make the instance send less.
-TEST(Pace, ColdHostsAreUsedWhereWarmOnesAnswerLateAndTheirOwnLateAnswersCloseNothing) {
+TEST(Pace, ColdHostsAreUsedWhereWarmOnesAnswerLateAndTheirLateAnswersDoNotReduceAdmission) {
   Settings settings = TestSettings();
   settings.balancers = 100;
-  const auto play = [&](int cold_hosts, double cold_took, double warm_took) {
-    Bed bed(settings);
+  const auto run = [&](int cold_hosts, double cold_took, double warm_took) {
+    TestBed bed(settings);
     auto hosts = TestHosts(20);
     for (int i = 0; i < cold_hosts; ++i) hosts[static_cast<std::size_t>(i)].started_ms = 990;
-    bed.Hosts(hosts);
+    bed.SetHosts(hosts);
     std::pair<int, int> sent;  // to cold hosts, to all hosts
     for (int i = 0; i < 300; ++i) {
       const std::size_t before = bed.out.sends.size();
@@ -321,42 +322,42 @@
       const bool cold = bed.out.sends.back().host[0] < 'a' + cold_hosts;
       sent.first += cold;
       ++sent.second;
-      bed.End(id, 0, Outcome::kServed, true, cold ? cold_took : warm_took, 1);
+      bed.EndAttempt(id, 0, Outcome::kServed, true, cold ? cold_took : warm_took, 1);
     }
     return sent;
   };
   // Each cold host gets 0.3 x 3 / 2 of a fair share.
-  EXPECT_GT(play(10, 50, 110).first, 300 * 0.45 * 0.5 * 0.6);
-  EXPECT_GT(play(19, 110, 30).second, 270);
+  EXPECT_GT(run(10, 50, 110).first, 300 * 0.45 * 0.5 * 0.6);
+  EXPECT_GT(run(19, 110, 30).second, 270);
 }
 
 TEST(Discovery, SubscribesAtOnceWhereItMustAndOnlyThere) {
-  Bed pushed(TestSettings());
+  TestBed pushed(TestSettings());
   pushed.balancer.OnHostList(pushed.now, TestHosts(2), true);
-  pushed.PassTo(60000);
+  pushed.AdvanceTo(60000);
   EXPECT_EQ(pushed.out.subscriptions, 0);
-  Bed asked(SubscribeSettings());
+  TestBed asked(SubscribeSettings());
   asked.balancer.OnHostList(asked.now, TestHosts(2), true);
   EXPECT_EQ(asked.out.subscriptions, 1);
 }
 
 TEST(Discovery, OnceAnsweredItDoesNotAskAgain) {
-  Bed bed(SubscribeSettings());
+  TestBed bed(SubscribeSettings());
   bed.balancer.OnHostList(bed.now, TestHosts(2), true);
   bed.balancer.OnHostChanges(bed.now, {});
-  bed.PassTo(60000);
+  bed.AdvanceTo(60000);
   EXPECT_EQ(bed.out.subscriptions, 1);
 }
 
 TEST(Discovery, ARefusalIsFollowedByAJitteredRetryWithinTheLimit) {
   std::set<double> waits;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Bed bed(SubscribeSettings(), seed);
+    TestBed bed(SubscribeSettings(), seed);
     bed.balancer.OnHostList(bed.now, TestHosts(2), true);
     for (int refusals = 1; refusals < 8; ++refusals) {
       bed.balancer.OnDiscoveryRefused(bed.now);
       const double refused_at = bed.now;
-      while (bed.out.subscriptions == refusals && bed.now < refused_at + 60000) bed.PassTo(bed.now + 10);
+      while (bed.out.subscriptions == refusals && bed.now < refused_at + 60000) bed.AdvanceTo(bed.now + 10);
       EXPECT_LT(bed.now - refused_at, bed.set.ask_within_ms);
       EXPECT_GT(bed.now - refused_at, 100);
       waits.insert(bed.now - refused_at);
@@ -365,50 +366,50 @@
   EXPECT_GT(waits.size(), 40u);
 }
 
-TEST(Discovery, AnAnswerThatNeverComesIsAskedForAgain) {
-  Bed bed(SubscribeSettings());
+TEST(Discovery, AMissingDiscoveryAnswerIsRequestedAgain) {
+  TestBed bed(SubscribeSettings());
   bed.balancer.OnHostList(bed.now, TestHosts(2), true);
-  bed.PassTo(bed.now + 9999);
+  bed.AdvanceTo(bed.now + 9999);
   EXPECT_GE(bed.out.subscriptions, 2);
 }
 
-TEST(Discovery, NewSettingsBindTheNextCallAndTheSizeOfASample) {
+TEST(Discovery, NewSettingsApplyToTheNextSubscriptionAndTheSampleSize) {
   Settings settings = SubscribeSettings();
   settings.reporting = Reporting::kProbe;
   settings.probe_price = 1;
-  Bed bed(settings);
+  TestBed bed(settings);
   bed.balancer.OnHostList(bed.now, TestHosts(8), true);
-  bed.Hosts(TestHosts(8));
+  bed.SetHosts(TestHosts(8));
   bed.Request(kSafeClass);
   EXPECT_EQ(bed.out.probes.size(), 2u);
-  for (const std::string& host : std::vector<std::string>(bed.out.probes)) bed.Probed(host, 1);
+  for (const std::string& host : std::vector<std::string>(bed.out.probes)) bed.ReportProbe(host, 1);
   settings.ask_within_ms = 2000;
   settings.probe_price = 0;
   bed.balancer.Retune(settings, {0, 1, 2});
   bed.balancer.OnDiscoveryRefused(bed.now);
   const double refused_at = bed.now;
-  bed.PassTo(refused_at + 250);  // an eighth of the new ask_within_ms
+  bed.AdvanceTo(refused_at + 250);  // an eighth of the new ask_within_ms
   EXPECT_EQ(bed.out.subscriptions, 2);
   bed.out.probes.clear();
-  bed.PassTo(refused_at + 5000);  // load reports have become stale
+  bed.AdvanceTo(refused_at + 5000);  // load reports have become stale
   bed.Request(kSafeClass);
   EXPECT_EQ(bed.out.probes.size(), 5u);
 }
 
 TEST(Discovery, ABrokenSubscriptionIsRenewed) {
-  Bed bed(SubscribeSettings());
+  TestBed bed(SubscribeSettings());
   bed.balancer.OnHostList(bed.now, TestHosts(2), true);
-  bed.Hosts(TestHosts(2));
-  bed.PassTo(20000);
+  bed.SetHosts(TestHosts(2));
+  bed.AdvanceTo(20000);
   bed.balancer.OnDiscoveryRefused(bed.now);
-  for (; bed.out.subscriptions == 1 && bed.now < 29999; bed.PassTo(bed.now + 10)) {
+  for (; bed.out.subscriptions == 1 && bed.now < 29999; bed.AdvanceTo(bed.now + 10)) {
   }
-  bed.Hosts(TestHosts(2));
-  bed.PassTo(60000);
+  bed.SetHosts(TestHosts(2));
+  bed.AdvanceTo(60000);
   EXPECT_EQ(bed.out.subscriptions, 2);
 }
 
-TEST(BadUse, SettingsThatMakeNoSenseAreRejectedWithAMessage) {
+TEST(InvalidUse, SettingsThatMakeNoSenseAreRejectedWithAMessage) {
   const std::vector<std::pair<const char*, void (*)(Settings&)>> cases = {
       {"no classes", [](Settings& s) { s.classes.clear(); }},
       {"aim", [](Settings& s) { s.classes[0].aim_ms = 0; }},
@@ -421,30 +422,30 @@
       {"multiple", [](Settings& s) { s.fall_multiple = 0; }},
       {"ask", [](Settings& s) { s.must_subscribe = true, s.ask_within_ms = 0; }},
   };
-  for (const auto& [name, spoil] : cases) {
+  for (const auto& [name, invalidate] : cases) {
     Settings settings = TestSettings();
-    spoil(settings);
+    invalidate(settings);
     Recorder out;
     EXPECT_THROW(Balancer(settings, 1, out), std::invalid_argument) << name;
   }
 }
 
-TEST(BadUse, UnknownNamesThrowAndChangeNothing) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(2));
-  EXPECT_THROW(bed.Probed("nowhere", 1), std::invalid_argument);
+TEST(InvalidUse, UnknownNamesThrowAndChangeNothing) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(2));
+  EXPECT_THROW(bed.ReportProbe("nowhere", 1), std::invalid_argument);
   EXPECT_THROW(bed.Request(7), std::invalid_argument);
   EXPECT_THROW(bed.Request(-1), std::invalid_argument);
-  EXPECT_TRUE(bed.out.all.empty());
+  EXPECT_TRUE(bed.out.actions.empty());
   const RequestId id = bed.Request(kSafeClass);
   --bed.last_id;
   EXPECT_THROW(bed.Request(kSafeClass), std::invalid_argument);
-  bed.End(id, 0, Outcome::kServed, true);
+  bed.EndAttempt(id, 0, Outcome::kServed, true);
   EXPECT_EQ(bed.out.sends.size(), 1u);
 }
 
-TEST(BadUse, ACallFromWithinAnActionThrowsAndTheNextOneWorks) {
-  struct Meddler : Recorder {
+TEST(InvalidUse, ACallFromWithinAnActionThrowsAndTheNextOneWorks) {
+  struct ReentrantSink : Recorder {
     void Send(RequestId id, const std::string& host, double give_up_ms, double out_by_ms) override {
       Recorder::Send(id, host, give_up_ms, out_by_ms);
       EXPECT_THROW(balancer->OnClientGone(1000, id), std::logic_error);
@@ -463,27 +464,27 @@
   EXPECT_EQ(out.sends.size(), 2u);
 }
 
-TEST(BadUse, OutcomesForNoAttemptAreIgnored) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(2));
-  bed.End(99, 0, Outcome::kError);
+TEST(InvalidUse, OutcomesForNoAttemptAreIgnored) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(2));
+  bed.EndAttempt(99, 0, Outcome::kError);
   const RequestId id = bed.Request(kSafeClass);
-  bed.End(id, 5, Outcome::kError);
-  bed.End(id, -1, Outcome::kError);
+  bed.EndAttempt(id, 5, Outcome::kError);
+  bed.EndAttempt(id, -1, Outcome::kError);
   bed.balancer.OnStreamBegun(bed.now, id, 9);
   bed.balancer.OnTimer(bed.now, 123456);
   EXPECT_EQ(bed.out.sends.size(), 1u);
-  EXPECT_EQ(bed.out.Answers(id), 0);
+  EXPECT_EQ(bed.out.AnswerCount(id), 0);
 }
 
-TEST(BadUse, ATimeThatGoesBackIsTakenAsTheLatestSeen) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(2));
+TEST(InvalidUse, ATimeThatGoesBackIsTakenAsTheLatestSeen) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(2));
   const RequestId id = bed.Request(kSafeClass, 800);
   bed.now = 10;
-  bed.End(id, 0, Outcome::kConnectFailed);
+  bed.EndAttempt(id, 0, Outcome::kConnectFailed);
   bed.now = 1001;
-  bed.PassTo(1005);
+  bed.AdvanceTo(1005);
   EXPECT_EQ(bed.out.sends.size(), 2u);
 }
 
--- a/tests/cartspring/random_events_test.cpp
+++ b/tests/cartspring/random_events_test.cpp
@@ -9,42 +9,43 @@
 namespace cartspring {
 namespace {
 
-class World {
+class RandomScenario {
  public:
-  explicit World(std::uint32_t seed) : draw_(seed), settings_(DrawSettings()), bed_(settings_, seed) {
+  explicit RandomScenario(std::uint32_t seed)
+      : draw_(seed), settings_(DrawSettings()), bed_(settings_, seed) {
     hosts_ = TestHosts(2 + Below(20), 1 + Below(3), 1 + Below(4));
     bed_.now = 50000;
     bed_.balancer.OnHostList(bed_.now, hosts_, true);
-    for (const auto& host : hosts_) told_gone_[host.host] = -1;
+    for (const auto& host : hosts_) not_live_since_[host.host] = -1;
   }
 
-  const std::vector<std::string>& Play(int steps) {
+  const std::vector<std::string>& Run(int steps) {
     for (int i = 0; i < steps; ++i) {
       Step();
-      Review();
+      CheckActions();
     }
     for (int i = 0; i < 5000; ++i) {
-      PassTo(bed_.now + 1);
-      Review();
+      AdvanceTo(bed_.now + 1);
+      CheckActions();
     }
     for (const auto& [id, request] : requests_) {
       EXPECT_TRUE(request.over) << "request " << id << " was lost";
     }
-    return bed_.out.all;
+    return bed_.out.actions;
   }
 
  private:
-  struct Try {
+  struct Attempt {
     std::string host;
     double at;
     bool pending = true;
     bool may_have_run = true;
   };
-  struct Known {
+  struct TrackedRequest {
     int klass;
     double give_up;
     bool over = false;
-    std::vector<Try> tries;
+    std::vector<Attempt> attempts;
   };
 
   int Below(int n) { return static_cast<int>(draw_() % static_cast<std::uint32_t>(n)); }
@@ -68,15 +69,15 @@
       case 0:
       case 1: {
         const int klass = Below(3);
-        const double patience = 1 + Below(1000);
-        const double give_up = bed_.now + patience;
+        const double give_up_in_ms = 1 + Below(1000);
+        const double give_up = bed_.now + give_up_in_ms;
         requests_[bed_.last_id + 1] = {klass, give_up, false, {}};
-        bed_.Request(klass, patience);
+        bed_.Request(klass, give_up_in_ms);
         break;
       }
       case 2:
       case 3:
-        EndOne();
+        FinishOneAttempt();
         break;
       case 4:
         AnswerProbe();
@@ -94,42 +95,43 @@
         }
         break;
       default:
-        PassTo(bed_.now + Below(40));
+        AdvanceTo(bed_.now + Below(40));
     }
   }
 
   // Advances the clock in steps of 1 ms; attempts time out before the timers of the same time fire.
-  void PassTo(double until) {
+  void AdvanceTo(double until) {
     for (double at = bed_.now + 1; at <= until; ++at) {
       for (auto& [id, request] : requests_) {
-        for (std::size_t k = 0; k < request.tries.size(); ++k) {
-          if (request.tries[k].pending && at >= request.give_up) EndTry(id, request, k, Outcome::kTimeout);
-          Review();
+        for (std::size_t k = 0; k < request.attempts.size(); ++k) {
+          if (request.attempts[k].pending && at >= request.give_up)
+            FinishAttempt(id, request, k, Outcome::kTimeout);
+          CheckActions();
         }
       }
-      bed_.PassTo(at);
-      Review();
+      bed_.AdvanceTo(at);
+      CheckActions();
     }
   }
 
-  void EndOne() {
+  void FinishOneAttempt() {
     for (auto& [id, request] : requests_) {
-      for (std::size_t k = 0; k < request.tries.size(); ++k) {
-        if (request.tries[k].pending && Below(3) == 0) {
-          return EndTry(id, request, k, static_cast<Outcome>(Below(8)));
+      for (std::size_t k = 0; k < request.attempts.size(); ++k) {
+        if (request.attempts[k].pending && Below(3) == 0) {
+          return FinishAttempt(id, request, k, static_cast<Outcome>(Below(8)));
         }
       }
     }
   }
 
-  void EndTry(RequestId id, Known& request, std::size_t k, Outcome outcome) {
-    Try& tried = request.tries[k];
-    tried.pending = false;
-    tried.may_have_run = !(outcome == Outcome::kRefusedByHost || outcome == Outcome::kConnectFailed ||
-                           outcome == Outcome::kNotSent);
+  void FinishAttempt(RequestId id, TrackedRequest& request, std::size_t k, Outcome outcome) {
+    Attempt& attempt = request.attempts[k];
+    attempt.pending = false;
+    attempt.may_have_run = !(outcome == Outcome::kRefusedByHost || outcome == Outcome::kConnectFailed ||
+                             outcome == Outcome::kNotSent);
     if (outcome == Outcome::kServed) request.over = true;
-    bed_.End(id, static_cast<int>(k), outcome, request.over, bed_.now - tried.at,
-             Below(2) > 0 ? Below(9) : -1);
+    bed_.EndAttempt(id, static_cast<int>(k), outcome, request.over, bed_.now - attempt.at,
+                    Below(2) > 0 ? Below(9) : -1);
   }
 
   void AnswerProbe() {
@@ -144,22 +146,22 @@
     HostEntry& host = hosts_[Below(static_cast<int>(hosts_.size()))];
     host.state = static_cast<HostState>(Below(3));
     if (Below(3) == 0) host.started_ms = bed_.now;
-    told_gone_[host.host] = host.state == HostState::kLive ? -1 : bed_.now;
+    not_live_since_[host.host] = host.state == HostState::kLive ? -1 : bed_.now;
     if (Below(2) == 0) return bed_.balancer.OnHostChanges(bed_.now, {host});
-    std::vector<HostEntry> whole;
+    std::vector<HostEntry> complete;
     for (const auto& entry : hosts_) {
-      if (entry.state != HostState::kGone) whole.push_back(entry);
+      if (entry.state != HostState::kGone) complete.push_back(entry);
     }
-    bed_.balancer.OnHostList(bed_.now, whole, false);
+    bed_.balancer.OnHostList(bed_.now, complete, false);
   }
 
   // Checks every action since the last call against the rules.
-  void Review() {
-    for (; sends_seen_ < bed_.out.sends.size(); ++sends_seen_) ReviewSend(bed_.out.sends[sends_seen_]);
+  void CheckActions() {
+    for (; sends_seen_ < bed_.out.sends.size(); ++sends_seen_) CheckSend(bed_.out.sends[sends_seen_]);
     for (; refused_seen_ < bed_.out.refused.size(); ++refused_seen_)
-      ReviewEnd(bed_.out.refused[refused_seen_], true);
+      CheckAnswer(bed_.out.refused[refused_seen_], true);
     for (; failed_seen_ < bed_.out.failed.size(); ++failed_seen_)
-      ReviewEnd(bed_.out.failed[failed_seen_], false);
+      CheckAnswer(bed_.out.failed[failed_seen_], false);
     if (!settings_.may_cancel) {
       EXPECT_TRUE(bed_.out.cancels.empty());
     }
@@ -172,14 +174,14 @@
     return *std::find_if(hosts_.begin(), hosts_.end(), [&](const HostEntry& h) { return h.host == name; });
   }
 
-  void ReviewSend(const Recorder::Sent& sent) {
-    Known& request = requests_.at(sent.id);
+  void CheckSend(const Recorder::Sent& sent) {
+    TrackedRequest& request = requests_.at(sent.id);
     const RequestClass& klass = settings_.classes[request.klass];
     EXPECT_FALSE(request.over) << "sent after its end";
-    EXPECT_LT(request.tries.size(), static_cast<std::size_t>(settings_.max_attempts));
-    const double told = told_gone_.at(sent.host);
-    EXPECT_TRUE(told < 0 || bed_.now <= told + settings_.drain_grace_ms) << "drain broken";
-    for (const Try& earlier : request.tries) {
+    EXPECT_LT(request.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
+    const double since = not_live_since_.at(sent.host);
+    EXPECT_TRUE(since < 0 || bed_.now <= since + settings_.drain_grace_ms) << "drain broken";
+    for (const Attempt& earlier : request.attempts) {
       EXPECT_TRUE(!earlier.pending || settings_.may_duplicate);
       if (!earlier.may_have_run || klass.effect == Effect::kSafe) continue;
       EXPECT_NE(klass.effect, Effect::kUnsafe) << "effect twice";
@@ -191,45 +193,45 @@
         EXPECT_EQ(Entry(earlier.host).cell, Entry(sent.host).cell);
       }
     }
-    request.tries.push_back({sent.host, bed_.now});
+    request.attempts.push_back({sent.host, bed_.now});
   }
 
-  void ReviewEnd(RequestId id, bool refusal) {
-    Known& request = requests_.at(id);
+  void CheckAnswer(RequestId id, bool refusal) {
+    TrackedRequest& request = requests_.at(id);
     const RequestClass& klass = settings_.classes[request.klass];
     EXPECT_FALSE(request.over) << "answered twice";
     EXPECT_LE(bed_.now, request.give_up + 1) << "answered too late";
     request.over = true;
-    const bool harmless =
+    const bool retry_is_safe =
         klass.effect == Effect::kSafe || (klass.effect == Effect::kKeyed && klass.group == RepeatGroup::kAll);
-    for (const Try& tried : request.tries) {
-      EXPECT_FALSE(refusal && !harmless && tried.may_have_run) << "refused though it may have run";
+    for (const Attempt& attempt : request.attempts) {
+      EXPECT_FALSE(refusal && !retry_is_safe && attempt.may_have_run) << "refused though it may have run";
     }
   }
 
   std::mt19937 draw_;
   Settings settings_;
-  Bed bed_;
+  TestBed bed_;
   std::vector<HostEntry> hosts_;
-  std::map<std::string, double> told_gone_;
-  std::map<RequestId, Known> requests_;
+  std::map<std::string, double> not_live_since_;
+  std::map<RequestId, TrackedRequest> requests_;
   std::size_t sends_seen_ = 0, refused_seen_ = 0, failed_seen_ = 0, probes_seen_ = 0;
 };
 
 TEST(RandomEvents, RulesOneToThreeHoldWhateverHappens) {
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
-    World(seed).Play(400);
+    RandomScenario(seed).Run(400);
     if (HasFailure()) return;
   }
 }
 
 TEST(RandomEvents, TheSameEventsGiveTheSameActionsAloneAndBesideOthers) {
-  const auto alone = World(7).Play(600);
-  World beside_one(8), same(7), beside_another(9);
-  beside_one.Play(300);
-  const auto again = same.Play(600);
-  beside_another.Play(300);
+  const auto alone = RandomScenario(7).Run(600);
+  RandomScenario beside_one(8), same(7), beside_another(9);
+  beside_one.Run(300);
+  const auto again = same.Run(600);
+  beside_another.Run(300);
   EXPECT_GT(alone.size(), 100u);
   EXPECT_EQ(alone, again);
 }
--- a/tests/cartspring/recovery_test.cpp
+++ b/tests/cartspring/recovery_test.cpp
@@ -11,7 +11,7 @@
 
 // The bound on recovery: this many service times after the fault has ended, a fleet that can carry its load
 // refuses fewer than 1% of the requests, whatever the balancers had estimated before.
-constexpr double kAnswerTimes = 400;
+constexpr double kRecoveryServiceTimes = 400;
 constexpr double kServiceMs = 8;
 
 Settings FleetSettings() {
@@ -26,78 +26,80 @@
   return s;
 }
 
-FleetPlan Plan(double load, std::uint32_t seed) {
-  FleetPlan plan;
-  plan.service_ms = kServiceMs;
-  plan.load = load;
-  plan.tip_at = 6;
-  plan.seed = seed;
-  return plan;
+FleetConfig MakeConfig(double load, std::uint32_t seed) {
+  FleetConfig config;
+  config.service_ms = kServiceMs;
+  config.load = load;
+  config.overload_queue_length = 6;
+  config.seed = seed;
+  return config;
 }
 
-void ExpectWellAfterT(Fleet& fleet, const std::string& what) {
-  fleet.PassTo(fleet.now() + kAnswerTimes * kServiceMs);
-  const Fleet::Counts counts = fleet.PassTo(fleet.now() + 5000);
+void ExpectRecovered(Fleet& fleet, const std::string& what) {
+  fleet.AdvanceTo(fleet.now() + kRecoveryServiceTimes * kServiceMs);
+  const Fleet::Counts counts = fleet.AdvanceTo(fleet.now() + 5000);
   EXPECT_GT(counts.asked, 1000) << what;
   EXPECT_LT(counts.refused_share(), 0.01) << what;
   EXPECT_GT(counts.in_time_share(), 0.97) << what;
 }
 
-TEST(Recovery, ABurstBeyondWhatHostsCanDoTipsNoneAndLeavesNothingBehind) {
+TEST(Recovery, ABurstBeyondCapacityOverloadsNoHostAndRecovers) {
   for (const std::uint32_t seed : {1u, 2u, 3u}) {
-    Fleet fleet(Plan(0.6, seed), FleetSettings());
-    fleet.PassTo(fleet.now() + 3000);
-    fleet.plan().load = 2;
+    Fleet fleet(MakeConfig(0.6, seed), FleetSettings());
+    fleet.AdvanceTo(fleet.now() + 3000);
+    fleet.config().load = 2;
     for (int second = 0; second < 5; ++second) {
-      const Fleet::Counts counts = fleet.PassTo(fleet.now() + 1000);
+      const Fleet::Counts counts = fleet.AdvanceTo(fleet.now() + 1000);
       EXPECT_GT(counts.in_time_share(), 0.4) << "seed " << seed << ", second " << second;
     }
-    EXPECT_EQ(fleet.tipped(), 0) << "seed " << seed;
-    fleet.plan().load = 0.6;
-    ExpectWellAfterT(fleet, "seed " + std::to_string(seed));
+    EXPECT_EQ(fleet.overloaded(), 0) << "seed " << seed;
+    fleet.config().load = 0.6;
+    ExpectRecovered(fleet, "seed " + std::to_string(seed));
   }
 }
 
-TEST(Recovery, ManyInstancesWithASmallShareEachRefuseNothingThatTheFleetCanCarry) {
-  FleetPlan plan = Plan(0.7, 5);
-  plan.instances = 8;
-  Fleet fleet(plan, FleetSettings());
-  fleet.PassTo(fleet.now() + 3000);
-  const Fleet::Counts counts = fleet.PassTo(fleet.now() + 20000);
+TEST(Recovery, ManyInstancesWithSmallSharesRefuseNothingWithinCapacity) {
+  FleetConfig config = MakeConfig(0.7, 5);
+  config.instances = 8;
+  Fleet fleet(config, FleetSettings());
+  fleet.AdvanceTo(fleet.now() + 3000);
+  const Fleet::Counts counts = fleet.AdvanceTo(fleet.now() + 20000);
   EXPECT_GT(counts.asked, 5000);
   EXPECT_LT(counts.refused_share(), 0.01);
-  EXPECT_EQ(fleet.tipped(), 0);
+  EXPECT_EQ(fleet.overloaded(), 0);
 }
 
-TEST(Recovery, AnswersLostInSilenceDoNotFillTheirHosts) {
-  Fleet fleet(Plan(0.55, 9), FleetSettings());
-  fleet.PassTo(fleet.now() + 3000);
+TEST(Recovery, LostAnswersDoNotMakeHostsLookFull) {
+  Fleet fleet(MakeConfig(0.55, 9), FleetSettings());
+  fleet.AdvanceTo(fleet.now() + 3000);
   int answers = 0;
-  fleet.loses = [&] { return ++answers % 4 == 0; };
-  fleet.PassTo(fleet.now() + 2000);
-  const Fleet::Counts counts = fleet.PassTo(fleet.now() + 8000);
+  fleet.loses_answer = [&] { return ++answers % 4 == 0; };
+  fleet.AdvanceTo(fleet.now() + 2000);
+  const Fleet::Counts counts = fleet.AdvanceTo(fleet.now() + 8000);
   EXPECT_GT(counts.failed, 500);  // not refused, since they may have run
   EXPECT_LT(counts.refused, 0.02 * counts.asked);
 }
 
-TEST(Recovery, NoBeliefHoldsItselfInPlace) {
+TEST(Recovery, EstimatesRecoverAfterEveryFault) {
   constexpr double kInf = std::numeric_limits<double>::infinity();
   constexpr double kNan = std::numeric_limits<double>::quiet_NaN();
-  struct Lie {
+  struct Fault {
     std::string what;
-    std::function<void(Fleet&)> tell, stop;
+    std::function<void(Fleet&)> start, stop;
   };
-  const auto outcome = [](const char* what, Outcome spoilt) {
-    return Lie{what, [spoilt](Fleet& f) { f.spoil = [spoilt](int) { return spoilt; }; },
-               [](Fleet& f) { f.spoil = nullptr; }};
+  const auto outcome = [](const char* what, Outcome forced) {
+    return Fault{what, [forced](Fleet& f) { f.override_outcome = [forced](int) { return forced; }; },
+                 [](Fleet& f) { f.override_outcome = nullptr; }};
   };
-  const auto took = [](const char* what, std::function<double(double)> told) {
-    return Lie{what, [told](Fleet& f) { f.took_of = told; }, [](Fleet& f) { f.took_of = nullptr; }};
+  const auto took = [](const char* what, std::function<double(double)> distort) {
+    return Fault{what, [distort](Fleet& f) { f.distort_took = distort; },
+                 [](Fleet& f) { f.distort_took = nullptr; }};
   };
-  const auto report = [](const char* what, std::function<double(double)> told) {
-    return Lie{what, [told](Fleet& f) { f.report = told; }, [](Fleet& f) { f.report = nullptr; }};
+  const auto distort_load = [](const char* what, std::function<double(double)> distort) {
+    return Fault{what, [distort](Fleet& f) { f.distort_load = distort; },
+                 [](Fleet& f) { f.distort_load = nullptr; }};
   };
-  const std::vector<Lie> lies = {
+  const std::vector<Fault> faults = {
       outcome("every answer an error", Outcome::kError),
       outcome("all turned away", Outcome::kRefusedByHost),
       outcome("no connection", Outcome::kConnectFailed),
@@ -106,80 +108,81 @@
       took("answers a thousand times later", [](double t) { return 1000 * t; }),
       took("endless answers", [kInf](double) { return kInf; }),
       took("answers after no number", [kNan](double) { return kNan; }),
-      report("a million held", [](double) { return 1e6; }),
-      report("endless held", [kInf](double) { return kInf; }),
-      report("no number held", [kNan](double) { return kNan; }),
-      report("nothing held by full hosts", [](double) { return 0; }),
-      {"no reports", [](Fleet& f) { f.plan().reports = false; }, [](Fleet& f) { f.plan().reports = true; }},
+      distort_load("a million held", [](double) { return 1e6; }),
+      distort_load("endless held", [kInf](double) { return kInf; }),
+      distort_load("no number held", [kNan](double) { return kNan; }),
+      distort_load("nothing held by full hosts", [](double) { return 0; }),
+      {"no reports", [](Fleet& f) { f.config().send_reports = false; },
+       [](Fleet& f) { f.config().send_reports = true; }},
       {"thirty times slower",
        [](Fleet& f) {
-         f.plan().service_ms *= 30;
-         f.plan().load *= 30;
+         f.config().service_ms *= 30;
+         f.config().load *= 30;
        },
        [](Fleet& f) {
-         f.plan().service_ms /= 30;
-         f.plan().load /= 30;
+         f.config().service_ms /= 30;
+         f.config().load /= 30;
        }},
-      {"nothing asked for an hour", [](Fleet& f) { f.plan().load = 1e-6; },
+      {"nothing asked for an hour", [](Fleet& f) { f.config().load = 1e-6; },
        [](Fleet& f) {
-         f.PassTo(f.now() + 3.6e6);
-         f.plan().load = 0.5;
-         f.Wake();
+         f.AdvanceTo(f.now() + 3.6e6);
+         f.config().load = 0.5;
+         f.RedrawArrival();
        }},
-      {"all instances started again", [](Fleet& f) { f.plan().load = 1.5; },
+      {"all instances started again", [](Fleet& f) { f.config().load = 1.5; },
        [](Fleet& f) {
-         f.plan().load = 0.5;
+         f.config().load = 0.5;
          f.Restart(0);
          f.Restart(1);
        }},
   };
-  for (const Lie& lie : lies) {
-    Fleet fleet(Plan(0.5, 7), FleetSettings());
-    fleet.PassTo(fleet.now() + 3000);
-    lie.tell(fleet);
-    fleet.PassTo(fleet.now() + 5000);
-    lie.stop(fleet);
-    ExpectWellAfterT(fleet, lie.what);
+  for (const Fault& fault : faults) {
+    Fleet fleet(MakeConfig(0.5, 7), FleetSettings());
+    fleet.AdvanceTo(fleet.now() + 3000);
+    fault.start(fleet);
+    fleet.AdvanceTo(fleet.now() + 5000);
+    fault.stop(fleet);
+    ExpectRecovered(fleet, fault.what);
   }
 }
 
-TEST(Recovery, ARequestThatEveryHostPassedOverIsGivenUpAtOnce) {
+TEST(Recovery, ARequestThatNoHostAcceptsIsRefusedAtOnce) {
   Settings s = TestSettings();
   s.cold_from = 0.1;
-  Bed bed(s);
+  TestBed bed(s);
   auto hosts = TestHosts(3);
   for (HostEntry& host : hosts) host.started_ms = bed.now - 1;
-  bed.Hosts(hosts);
+  bed.SetHosts(hosts);
   for (int i = 0; i < 200; ++i) bed.Request(kUnsafeClass);
   EXPECT_EQ(bed.out.refused.size() + bed.out.sends.size(), 200u);  // none is left waiting
   EXPECT_GT(bed.out.refused.size(), 100u);
 }
 
-TEST(Recovery, WhatNobodyTookIsGivenUpByHalfOfItsTime) {
-  Bed bed(TestSettings());
+TEST(Recovery, AnUnplacedRequestIsRefusedByHalfOfItsTime) {
+  TestBed bed(TestSettings());
   const RequestId id = bed.Request(kUnsafeClass, 800);
-  bed.PassTo(bed.now + 400);
+  bed.AdvanceTo(bed.now + 400);
   EXPECT_EQ(bed.out.refused, std::vector<RequestId>{id});
 }
 
-TEST(Recovery, RefusalsSayWhenToComeBackSpreadOutAndOnlyWhereThatIsAllowed) {
-  const auto advice = [](bool allowed, double longest) {
+TEST(Recovery, RetryAdviceIsSpreadOutAndGivenOnlyWhereAllowed) {
+  const auto retry_advice_ms = [](bool allowed, double longest) {
     Settings s = TestSettings();
     s.may_advise_retry = allowed;
     s.max_retry_after_ms = longest;
-    Bed bed(s);
-    bed.Hosts(TestHosts(1));
+    TestBed bed(s);
+    bed.SetHosts(TestHosts(1));
     for (int i = 0; i < 100; ++i) bed.Request(kUnsafeClass);  // more than the host may have in flight
-    EXPECT_GT(bed.out.advice.size(), 50u);
-    return bed.out.advice;
+    EXPECT_GT(bed.out.retry_advice_ms.size(), 50u);
+    return bed.out.retry_advice_ms;
   };
-  const auto given = advice(true, 2000);
+  const auto given = retry_advice_ms(true, 2000);
   const auto [least, most] = std::minmax_element(given.begin(), given.end());
   EXPECT_GT(*least, 0);
   EXPECT_GT(*most, 2 * *least);
   EXPECT_LT(*most, 500);
-  for (const double ms : advice(true, 20)) EXPECT_LE(ms, 20);
-  for (const double ms : advice(false, 2000)) EXPECT_EQ(ms, 0);
+  for (const double ms : retry_advice_ms(true, 20)) EXPECT_LE(ms, 20);
+  for (const double ms : retry_advice_ms(false, 2000)) EXPECT_EQ(ms, 0);
 }
 
 }  // namespace
--- a/tests/cartspring/rules_test.cpp
+++ b/tests/cartspring/rules_test.cpp
@@ -10,115 +10,115 @@
 namespace {
 
 TEST(NoRequestLost, AFailedAttemptIsFollowedByAnotherAndThenByOneAnswer) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
   const RequestId id = bed.Request(kSafeClass);
   ASSERT_EQ(bed.out.sends.size(), 1u);
-  for (int attempt = 0; attempt < 6 && bed.out.Answers(id) == 0; ++attempt) {
-    bed.End(id, attempt, Outcome::kConnectFailed);
-    bed.PassTo(bed.now + 1);
+  for (int attempt = 0; attempt < 6 && bed.out.AnswerCount(id) == 0; ++attempt) {
+    bed.EndAttempt(id, attempt, Outcome::kConnectFailed);
+    bed.AdvanceTo(bed.now + 1);
   }
-  bed.PassTo(3000);
+  bed.AdvanceTo(3000);
   EXPECT_GT(bed.out.sends.size(), 1u);
   EXPECT_LE(bed.out.sends.size(), 4u);
-  EXPECT_EQ(bed.out.Answers(id), 1);
+  EXPECT_EQ(bed.out.AnswerCount(id), 1);
 }
 
 TEST(NoRequestLost, TheTimeOutAtTheEndIsAnsweredOnceAndInTime) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
   const RequestId id = bed.Request(kUnsafeClass, 700);
   EXPECT_LE(bed.out.sends.at(0).give_up_ms, 1700);
-  bed.PassTo(1700);
+  bed.AdvanceTo(1700);
   EXPECT_EQ(bed.out.failed, std::vector<RequestId>{id});
-  bed.End(id, 0, Outcome::kTimeout);
-  bed.PassTo(5000);
-  EXPECT_EQ(bed.out.Answers(id), 1);
+  bed.EndAttempt(id, 0, Outcome::kTimeout);
+  bed.AdvanceTo(5000);
+  EXPECT_EQ(bed.out.AnswerCount(id), 1);
   EXPECT_EQ(bed.out.sends.size(), 1u);
 }
 
-TEST(NoRequestLost, WithNoHostAtAllItIsRefusedBeforeItsEnd) {
-  Bed bed(TestSettings());
+TEST(NoRequestLost, WithNoHostItIsRefusedBeforeItsDeadline) {
+  TestBed bed(TestSettings());
   for (const int klass : {kSafeClass, kKeyedClass, kUnsafeClass}) {
     const RequestId id = bed.Request(klass);
-    bed.PassTo(bed.now + 800);
+    bed.AdvanceTo(bed.now + 800);
     EXPECT_EQ(std::count(bed.out.refused.begin(), bed.out.refused.end(), id), 1) << klass;
   }
   EXPECT_TRUE(bed.out.sends.empty());
 }
 
-TEST(NoRequestLost, HostsThatAppearWhileARequestIsHeldGetIt) {
-  Bed bed(TestSettings());
+TEST(NoRequestLost, AWaitingRequestGoesToHostsThatAppear) {
+  TestBed bed(TestSettings());
   const RequestId id = bed.Request(kSafeClass);
-  bed.PassTo(1010);
-  bed.Hosts(TestHosts(2));
-  bed.PassTo(1800);
+  bed.AdvanceTo(1010);
+  bed.SetHosts(TestHosts(2));
+  bed.AdvanceTo(1800);
   ASSERT_EQ(bed.out.sends.size(), 1u);
   EXPECT_EQ(bed.out.sends[0].id, id);
 }
 
-TEST(NoRequestLost, OneThatIsOverGetsNothingMore) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
+TEST(NoRequestLost, AFinishedRequestCausesNoFurtherActions) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
   const RequestId served = bed.Request(kSafeClass);
-  bed.End(served, 0, Outcome::kServed, true);
+  bed.EndAttempt(served, 0, Outcome::kServed, true);
   const RequestId left = bed.Request(kSafeClass);
   bed.balancer.OnClientGone(bed.now, left);
   EXPECT_EQ(bed.out.cancels.size(), 1u);
-  bed.End(left, 0, Outcome::kCancelled, true);
+  bed.EndAttempt(left, 0, Outcome::kCancelled, true);
   bed.balancer.OnClientGone(bed.now, served);
-  bed.PassTo(5000);
+  bed.AdvanceTo(5000);
   EXPECT_EQ(bed.out.sends.size(), 2u);
-  EXPECT_EQ(bed.out.Answers(served) + bed.out.Answers(left), 0);
+  EXPECT_EQ(bed.out.AnswerCount(served) + bed.out.AnswerCount(left), 0);
 }
 
-TEST(NoRequestLost, AStreamThatHasBegunHasNoEnd) {
+TEST(NoRequestLost, AStreamThatHasBegunHasNoDeadline) {
   Settings settings = TestSettings();
   settings.classes[kSafeClass].streaming = true;
-  Bed bed(settings);
-  bed.Hosts(TestHosts(3));
+  TestBed bed(settings);
+  bed.SetHosts(TestHosts(3));
   const RequestId id = bed.Request(kSafeClass);
   bed.balancer.OnStreamBegun(bed.now, id, 0);
-  bed.PassTo(20000);
-  EXPECT_EQ(bed.out.Answers(id), 0);
+  bed.AdvanceTo(20000);
+  EXPECT_EQ(bed.out.AnswerCount(id), 0);
   EXPECT_TRUE(bed.out.cancels.empty());
-  bed.End(id, 0, Outcome::kConnectionLost, true);
-  bed.PassTo(30000);
+  bed.EndAttempt(id, 0, Outcome::kConnectionLost, true);
+  bed.AdvanceTo(30000);
   EXPECT_EQ(bed.out.sends.size(), 1u);
 }
 
 TEST(NoRequestLost, NothingIsCancelledWhereThatIsNotAllowed) {
   Settings settings = TestSettings();
   settings.may_cancel = false;
-  Bed bed(settings);
-  bed.Hosts(TestHosts(3));
+  TestBed bed(settings);
+  bed.SetHosts(TestHosts(3));
   const RequestId id = bed.Request(kSafeClass);
-  bed.PassTo(2000);
-  EXPECT_EQ(bed.out.Answers(id), 1);
+  bed.AdvanceTo(2000);
+  EXPECT_EQ(bed.out.AnswerCount(id), 1);
   EXPECT_TRUE(bed.out.cancels.empty());
 }
 
 TEST(NoEffectTwice, AnUnsafeRequestIsSentAgainOnlyAfterProofThatItNeverRan) {
   for (const Outcome outcome :
        {Outcome::kError, Outcome::kTimeout, Outcome::kConnectionLost, Outcome::kCancelled}) {
-    Bed bed(TestSettings());
-    bed.Hosts(TestHosts(3));
+    TestBed bed(TestSettings());
+    bed.SetHosts(TestHosts(3));
     const RequestId id = bed.Request(kUnsafeClass);
-    bed.End(id, 0, outcome);
-    bed.PassTo(3000);
+    bed.EndAttempt(id, 0, outcome);
+    bed.AdvanceTo(3000);
     EXPECT_EQ(bed.out.sends.size(), 1u);
     EXPECT_EQ(bed.out.failed, std::vector<RequestId>{id});
     EXPECT_TRUE(bed.out.refused.empty());
   }
   for (const Outcome outcome : {Outcome::kRefusedByHost, Outcome::kConnectFailed, Outcome::kNotSent}) {
-    Bed bed(TestSettings());
-    bed.Hosts(TestHosts(3));
+    TestBed bed(TestSettings());
+    bed.SetHosts(TestHosts(3));
     const RequestId id = bed.Request(kUnsafeClass);
-    bed.End(id, 0, outcome);
-    bed.PassTo(1050);
+    bed.EndAttempt(id, 0, outcome);
+    bed.AdvanceTo(1050);
     EXPECT_EQ(bed.out.sends.size(), 2u);
-    bed.End(id, 1, Outcome::kError);
-    bed.PassTo(3000);
+    bed.EndAttempt(id, 1, Outcome::kError);
+    bed.AdvanceTo(3000);
     EXPECT_EQ(bed.out.sends.size(), 2u);
     EXPECT_EQ(bed.out.failed, std::vector<RequestId>{id});
   }
@@ -130,15 +130,15 @@
   Settings settings = TestSettings();
   settings.classes[kKeyedClass].group = group;
   settings.classes[kKeyedClass].repeat_window_ms = window;
-  Bed bed(settings);
-  bed.Hosts(TestHosts(12, 2, 4));  // zone is i % 2, cell is i % 4
+  TestBed bed(settings);
+  bed.SetHosts(TestHosts(12, 2, 4));  // zone is i % 2, cell is i % 4
   const RequestId id = bed.Request(kKeyedClass);
-  for (int attempt = 0; attempt < 4 && bed.out.Answers(id) == 0; ++attempt) {
-    bed.PassTo(bed.now + pause);
-    if (static_cast<int>(bed.out.sends.size()) > attempt) bed.End(id, attempt, outcome);
+  for (int attempt = 0; attempt < 4 && bed.out.AnswerCount(id) == 0; ++attempt) {
+    bed.AdvanceTo(bed.now + pause);
+    if (static_cast<int>(bed.out.sends.size()) > attempt) bed.EndAttempt(id, attempt, outcome);
   }
-  bed.PassTo(5000);
-  EXPECT_EQ(bed.out.Answers(id), 1);
+  bed.AdvanceTo(5000);
+  EXPECT_EQ(bed.out.AnswerCount(id), 1);
   EXPECT_EQ(bed.out.refused.size(),
             group == RepeatGroup::kAll || outcome == Outcome::kConnectFailed ? 1u : 0u);
   std::vector<std::string> hosts;
@@ -171,19 +171,19 @@
 
 constexpr double kNoBound = std::numeric_limits<double>::infinity();
 
-TEST(NoEffectTwice, ARepeatSaysByWhenItHasToBeOutAndNothingElseDoes) {
+TEST(NoEffectTwice, OnlyARepeatHasASendDeadline) {
   for (const int klass : {kSafeClass, kKeyedClass, kUnsafeClass}) {
     for (const Outcome outcome : {Outcome::kError, Outcome::kNotSent}) {
       Settings settings = TestSettings();
       settings.classes[kKeyedClass].group = RepeatGroup::kAll;
       settings.classes[kKeyedClass].repeat_window_ms = 300;
-      Bed bed(settings);
-      bed.Hosts(TestHosts(4));
+      TestBed bed(settings);
+      bed.SetHosts(TestHosts(4));
       const RequestId id = bed.Request(klass);
       const double sent_ms = bed.now;
-      bed.PassTo(sent_ms + 40);
-      bed.End(id, 0, outcome);
-      bed.PassTo(sent_ms + 60);
+      bed.AdvanceTo(sent_ms + 40);
+      bed.EndAttempt(id, 0, outcome);
+      bed.AdvanceTo(sent_ms + 60);
       EXPECT_EQ(bed.out.sends.front().out_by_ms, kNoBound);
       if (klass == kUnsafeClass && outcome == Outcome::kError) continue;  // it gets no second attempt
       ASSERT_EQ(bed.out.sends.size(), 2u);
@@ -193,51 +193,51 @@
   }
 }
 
-TEST(NoEffectTwice, AttemptsThatNeverRanBindAKeyedRequestToNothing) {
+TEST(NoEffectTwice, AttemptsThatNeverRanDoNotRestrictAKeyedRequest) {
   const auto hosts = KeyedHosts(RepeatGroup::kCell, Outcome::kConnectFailed, 60, 100);
   EXPECT_EQ(hosts.size(), 4u);
 }
 
 TEST(NoEffectTwice, NoSecondAttemptWhileTheFirstIsOut) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(6));
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(6));
   const RequestId id = bed.Request(kSafeClass);
-  bed.PassTo(1490);
+  bed.AdvanceTo(1490);
   EXPECT_EQ(bed.out.sends.size(), 1u);
-  EXPECT_EQ(bed.out.Answers(id), 0);
+  EXPECT_EQ(bed.out.AnswerCount(id), 0);
 }
 
-TEST(NoEffectTwice, TheSendCapHolds) {
+TEST(NoEffectTwice, TheAttemptLimitHolds) {
   Settings settings = TestSettings();
   settings.max_attempts = 2;
-  Bed bed(settings);
-  bed.Hosts(TestHosts(6));
+  TestBed bed(settings);
+  bed.SetHosts(TestHosts(6));
   const RequestId id = bed.Request(kSafeClass);
-  bed.End(id, 0, Outcome::kConnectFailed);
-  bed.PassTo(1010);
-  bed.End(id, 1, Outcome::kConnectFailed);
-  bed.PassTo(3000);
+  bed.EndAttempt(id, 0, Outcome::kConnectFailed);
+  bed.AdvanceTo(1010);
+  bed.EndAttempt(id, 1, Outcome::kConnectFailed);
+  bed.AdvanceTo(3000);
   EXPECT_EQ(bed.out.sends.size(), 2u);
-  EXPECT_EQ(bed.out.Answers(id), 1);
+  EXPECT_EQ(bed.out.AnswerCount(id), 1);
 }
 
 // Sends `count` requests; returns the hosts that they went to.
-std::set<std::string> HostsInUse(Bed& bed, int count) {
+std::set<std::string> HostsInUse(TestBed& bed, int count) {
   const std::size_t before = bed.out.sends.size();
   for (int i = 0; i < count; ++i) {
     const RequestId id = bed.Request(kSafeClass);
-    bed.End(id, 0, Outcome::kServed, true, 20, 1);
+    bed.EndAttempt(id, 0, Outcome::kServed, true, 20, 1);
   }
   std::set<std::string> hosts;
   for (std::size_t i = before; i < bed.out.sends.size(); ++i) hosts.insert(bed.out.sends[i].host);
   return hosts;
 }
 
-TEST(DrainsKept, ADrainingOrGoneHostGetsNothingFromTheMomentItIsTold) {
+TEST(DrainsRespected, ADrainingOrGoneHostGetsNothingOnceReported) {
   for (const HostState state : {HostState::kDraining, HostState::kGone}) {
-    Bed bed(TestSettings());
+    TestBed bed(TestSettings());
     auto hosts = TestHosts(3);
-    bed.Hosts(hosts);
+    bed.SetHosts(hosts);
     EXPECT_EQ(HostsInUse(bed, 200).size(), 3u);
     hosts[1].state = state;
     bed.balancer.OnHostChanges(bed.now, {hosts[1]});
@@ -245,34 +245,34 @@
   }
 }
 
-TEST(DrainsKept, AHostMissingFromAWholeListIsGone) {
-  Bed bed(TestSettings());
-  bed.Hosts(TestHosts(3));
-  bed.Hosts(TestHosts(2));
+TEST(DrainsRespected, AHostMissingFromACompleteListIsGone) {
+  TestBed bed(TestSettings());
+  bed.SetHosts(TestHosts(3));
+  bed.SetHosts(TestHosts(2));
   EXPECT_EQ(HostsInUse(bed, 200), (std::set<std::string>{"a", "b"}));
 }
 
-TEST(DrainsKept, ARememberedListIsReplacedByTheFirstWholeOne) {
-  Bed bed(TestSettings());
+TEST(DrainsRespected, ARememberedListIsReplacedByTheFirstCompleteOne) {
+  TestBed bed(TestSettings());
   bed.balancer.OnHostList(bed.now, TestHosts(3), true);
   EXPECT_EQ(HostsInUse(bed, 200).size(), 3u);
   HostEntry replacement = TestHosts(4)[3];
-  bed.Hosts({TestHosts(1)[0], replacement});
+  bed.SetHosts({TestHosts(1)[0], replacement});
   EXPECT_EQ(HostsInUse(bed, 200), (std::set<std::string>{"a", "d"}));
 }
 
-TEST(DrainsKept, ARequestHeldWhenTheDrainIsToldGoesElsewhere) {
+TEST(DrainsRespected, ARequestWaitingWhenADrainIsReportedGoesElsewhere) {
   Settings settings = TestSettings();
   settings.reporting = Reporting::kProbe;
-  Bed bed(settings);
+  TestBed bed(settings);
   auto hosts = TestHosts(2);
-  bed.Hosts(hosts);
+  bed.SetHosts(hosts);
   bed.Request(kSafeClass);
   ASSERT_EQ(bed.out.probes.size(), 2u);
   hosts[0].state = HostState::kDraining;
   bed.balancer.OnHostChanges(bed.now, {hosts[0]});
-  bed.Probed("a", 0);
-  bed.Probed("b", 3);
+  bed.ReportProbe("a", 0);
+  bed.ReportProbe("b", 3);
   ASSERT_EQ(bed.out.sends.size(), 1u);
   EXPECT_EQ(bed.out.sends[0].host, "b");
 }
@@ -282,24 +282,24 @@
 double ColdShare(double age, int hosts) {
   Settings settings = TestSettings();
   settings.cold_from = 0.2;
-  Bed bed(settings);
+  TestBed bed(settings);
   bed.now = 100000;
   auto list = TestHosts(hosts);
   list[0].started_ms = age < 0 ? 0 : bed.now - age;
-  bed.Hosts(list);
+  bed.SetHosts(list);
   int cold = 0, sends = 0;
   for (int i = 0; i < 4000; ++i) {
     const RequestId id = bed.Request(kSafeClass);
     const bool on_cold = bed.out.sends.back().host == "a";
     cold += on_cold;
     ++sends;
-    bed.End(id, 0, Outcome::kServed, true, 20, on_cold ? 0 : 9);
-    bed.PassTo(bed.now);
+    bed.EndAttempt(id, 0, Outcome::kServed, true, 20, on_cold ? 0 : 9);
+    bed.AdvanceTo(bed.now);
   }
   return static_cast<double>(cold) / sends;
 }
 
-TEST(ColdHostsNotPushedOver, AnIdleColdHostGetsLessThanItCanBearOfAllInstancesTogether) {
+TEST(ColdHostsNotOverloaded, AnIdleColdHostGetsLessThanItsCapacityFromAllInstancesTogether) {
   // Each instance limits the cold host to its fair share x half of fall_multiple x its warmth: 1.5 x 0.2
   // / 10.
   const double cold = ColdShare(0, 10);
@@ -307,23 +307,23 @@
   EXPECT_LT(cold, 0.045);
 }
 
-TEST(ColdHostsNotPushedOver, TheShareGrowsWithAge) {
+TEST(ColdHostsNotOverloaded, TheShareGrowsWithAge) {
   const double young = ColdShare(0, 10), half = ColdShare(4000, 10), warm = ColdShare(9000, 10);
   EXPECT_LT(young, half);
   EXPECT_LT(half, 0.135);
   EXPECT_GT(warm, 0.5);  // warm, and by far the least loaded
 }
 
-TEST(ColdHostsNotPushedOver, AColdHostGetsItsShareThoughItLooksSlow) {
+TEST(ColdHostsNotOverloaded, AColdHostGetsItsShareThoughItLooksSlow) {
   // A cold host answers slowly and has many requests in flight for its capacity. Ranked by these it would get
   // nothing until it is warm.
   Settings settings = TestSettings();
   settings.cold_from = 0.2;
-  Bed bed(settings);
+  TestBed bed(settings);
   bed.now = 100000;
   auto list = TestHosts(10);
   list[0].started_ms = bed.now;
-  bed.Hosts(list);
+  bed.SetHosts(list);
   int cold = 0, again = 0;
   for (int i = 0; i < 4000; ++i) {
     // Every second request is a client's retry, recognisable by less time left; retries never go to
@@ -332,39 +332,39 @@
     const bool on_cold = bed.out.sends.back().id == id && bed.out.sends.back().host == "a";
     cold += on_cold && i % 2 == 0;
     again += on_cold && i % 2 != 0;
-    bed.End(id, 0, Outcome::kServed, true, on_cold ? 200 : 20, on_cold ? 2 : 1);
+    bed.EndAttempt(id, 0, Outcome::kServed, true, on_cold ? 200 : 20, on_cold ? 2 : 1);
   }
   EXPECT_GT(cold, 20);  // of 2000, each with chance 0.2 x 1.5 / 10
   EXPECT_LT(cold, 110);
   EXPECT_EQ(again, 0);
 }
 
-TEST(ColdHostsNotPushedOver, NeitherRetriesNorLaterLooksDrawForItAgain) {
+TEST(ColdHostsNotOverloaded, NeitherRetriesNorLaterDecisionsDrawForItAgain) {
   // A cold host beside an unreachable one: a request draws once for the cold host, with chance 0.2 x 1.5 / 2,
   // however often it is considered again before its deadline.
   int kept_cold = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Settings settings = TestSettings();
     settings.cold_from = 0.2;
-    Bed bed(settings, seed);
+    TestBed bed(settings, seed);
     bed.now = 100000;
     auto hosts = TestHosts(2);
     hosts[0].started_ms = bed.now;
-    bed.Hosts(hosts);
+    bed.SetHosts(hosts);
     const RequestId id = bed.Request(kSafeClass);
-    if (bed.out.sends.at(0).host == "b") bed.End(id, 0, Outcome::kConnectFailed);
-    bed.PassTo(bed.now + 800);
+    if (bed.out.sends.at(0).host == "b") bed.EndAttempt(id, 0, Outcome::kConnectFailed);
+    bed.AdvanceTo(bed.now + 800);
     kept_cold += bed.out.sends.back().host == "a";
   }
   EXPECT_GT(kept_cold, 10);
   EXPECT_LT(kept_cold, 70);
 }
 
-TEST(ColdHostsNotPushedOver, ARestartUnderTheSameNameIsColdAgain) {
-  Bed bed(TestSettings());
+TEST(ColdHostsNotOverloaded, ARestartUnderTheSameNameIsColdAgain) {
+  TestBed bed(TestSettings());
   bed.now = 100000;
   auto hosts = TestHosts(2);
-  bed.Hosts(hosts);
+  bed.SetHosts(hosts);
   hosts[0].started_ms = bed.now;
   bed.balancer.OnHostChanges(bed.now, {hosts[0]});
   int cold = 0;
@@ -372,29 +372,29 @@
     const RequestId id = bed.Request(kSafeClass);
     if (bed.out.sends.back().id != id) continue;
     cold += bed.out.sends.back().host == "a";
-    bed.End(id, 0, Outcome::kServed, true, 20, bed.out.sends.back().host == "a" ? 0 : 9);
+    bed.EndAttempt(id, 0, Outcome::kServed, true, 20, bed.out.sends.back().host == "a" ? 0 : 9);
   }
   EXPECT_LT(cold, 300);  // of 1000, each with chance 0.3 x 1.5 / 2
 }
 
-TEST(ColdHostsNotPushedOver, WhenAllAreColdRequestsWaitOrAreRefusedRatherThanPushed) {
+TEST(ColdHostsNotOverloaded, WhenAllAreColdRequestsWaitOrAreRefusedRatherThanSent) {
   Settings settings = TestSettings();
   settings.cold_from = 0.1;
-  Bed bed(settings);
+  TestBed bed(settings);
   bed.now = 100000;
   auto hosts = TestHosts(10);
   for (auto& host : hosts) host.started_ms = bed.now;
-  bed.Hosts(hosts);
+  bed.SetHosts(hosts);
   std::vector<RequestId> ids;
   for (int i = 0; i < 400; ++i) ids.push_back(bed.Request(kSafeClass));
   const std::size_t at_once = bed.out.sends.size();
   EXPECT_GT(at_once, 5u);
   EXPECT_LT(at_once, 120u);  // ten hosts, each with chance 0.1 x 1.5 / 10
-  bed.PassTo(bed.now + 1000);
+  bed.AdvanceTo(bed.now + 1000);
   for (const RequestId id : ids) {
     const bool sent = std::any_of(bed.out.sends.begin(), bed.out.sends.end(),
                                   [id](const Recorder::Sent& s) { return s.id == id; });
-    EXPECT_TRUE(sent || bed.out.Answers(id) == 1) << id;
+    EXPECT_TRUE(sent || bed.out.AnswerCount(id) == 1) << id;
   }
 }
 
--- a/tests/cartspring/steps_test.cpp
+++ b/tests/cartspring/steps_test.cpp
@@ -20,7 +20,7 @@
   EXPECT_LE(hosts.size(), 3);  // the one in use, the previous one and the one that replaces it
 }
 
-TEST(Steps, APauseStaysWithinThePatienceOfTheMostPatientClass) {
+TEST(Steps, APauseStaysWithinOneAndAHalfTimesTheLongestDeadline) {
   Context ctx{TestSettings(), Random(1)};
   const Estimates estimates(ctx);
   Health health(ctx, estimates);
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(Steps, OutcomesOfOneHostMoveItsTimeWithinABoundThatFades) {
+TEST(Steps, OutcomesOfOneHostChangeItsEstimateWithinABoundThatFades) {
   Context ctx{TestSettings(), Random(1)};
   Estimates estimates(ctx);
   Host slow, other;
@@ -50,7 +50,7 @@
 
 // A fifth of the outcomes of a host kind are forty times slower than the rest: this must be attributed to the
 // single hosts, not to the kind.
-TEST(Steps, AFifthOfTheOutcomesFarOffDoesNotCarryTheLevelOfTheirKindAway) {
+TEST(Steps, AFifthOfOutliersDoesNotMoveTheEstimateOfTheirKind) {
   Context ctx{TestSettings(), Random(1)};
   Estimates estimates(ctx);
   std::vector<Host> hosts(300);  // the instance sees only two outcomes of each
@@ -61,7 +61,7 @@
 
 // Otherwise the next attempts would time out after six times a very short expected time, and the time-outs
 // would count against their hosts.
-TEST(Steps, OneVeryQuickAnswerIsBelievedWithinABound) {
+TEST(Steps, OneVeryQuickAnswerChangesTheEstimateWithinABound) {
   Context ctx{TestSettings(), Random(1)};
   Estimates estimates(ctx);
   HostTable hosts(ctx);
@@ -71,7 +71,7 @@
   EXPECT_GT(estimates.Expected(kSafeClass, hosts[1], 1, 1), before / 2);
 }
 
-TEST(Steps, InALargeTierLooksAtFailingHostsAreEarnedByRequests) {
+TEST(Steps, InALargeTierTrialsOfFailingHostsAreLimitedByRequests) {
   for (const int balancers : {2, 100}) {
     Settings settings = TestSettings();
     settings.balancers = balancers;
@@ -84,43 +84,43 @@
       while (hosts[i].doubt <= 0) health.Weigh(hosts[i], /*failed=*/true);
       hosts[i].out_until = 0;
     }
-    int looks = 0;
+    int trials = 0;
     for (int request = 0; request < 500; ++request) {
       health.Earn();
       ctx.now += 60;
       const auto ready = health.Ready(hosts, /*safe=*/true);
       for (const int row : hosts.live()) {
         if (hosts[row].doubt <= 0 || !ready(hosts[row])) continue;
-        ++looks;
+        ++trials;
         health.Sent(hosts[row], 20);
         break;
       }
     }
-    EXPECT_LE(looks, balancers == 2 ? 500 : 13);
-    EXPECT_GE(looks, balancers == 2 ? 500 : 8);
+    EXPECT_LE(trials, balancers == 2 ? 500 : 13);
+    EXPECT_GE(trials, balancers == 2 ? 500 : 8);
   }
 }
 
 // Reference for Health::Ready(): which hosts are ready, computed by a scan over all of them.
-std::vector<int> ReadyByHand(const Context& ctx, const HostTable& hosts, const Health& health) {
+std::vector<int> ReadyByFullScan(const Context& ctx, const HostTable& hosts, const Health& health) {
   std::vector<int> ready, all;
-  std::size_t well = 0;
+  std::size_t healthy = 0;
   for (const int i : hosts.live()) {
     const bool out = ctx.now < hosts[i].out_until;
     if (!hosts[i].unreached || !out) all.push_back(i);
     if (out || health.Silent(hosts[i])) continue;
-    well += hosts[i].doubt <= 0;
+    healthy += hosts[i].doubt <= 0;
     if (hosts[i].doubt <= 0 || hosts[i].own == 0) ready.push_back(i);
   }
-  return 2 * well < hosts.live().size() && !all.empty() ? all : ready;
+  return 2 * healthy < hosts.live().size() && !all.empty() ? all : ready;
 }
 
-TEST(Steps, WhatIsCountedFromTheWatchedHostsIsWhatAllOfThemTell) {
+TEST(Steps, CountsFromTheWatchedHostsEqualAFullScan) {
   Context ctx{TestSettings(), Random(3)};
   const Estimates estimates(ctx);
   Health health(ctx, estimates);
   HostTable hosts(ctx);
-  int blind = 0;
+  int all_used = 0;
   for (int step = 0; step < 20000; ++step) {
     if (step % 50 == 0) hosts.Take(TestHosts(3 + static_cast<int>(ctx.random.Below(7))), true);
     ctx.now += 20 * ctx.random.Unit();
@@ -135,16 +135,17 @@
       health.Weigh(host, true);  // an unanswered probe
     }
     const auto ready = health.Ready(hosts, /*safe=*/true);
-    std::vector<int> told;
-    std::ranges::copy_if(hosts.live(), std::back_inserter(told), [&](int i) { return ready(hosts[i]); });
-    const std::vector<int> by_hand = ReadyByHand(ctx, hosts, health);
-    ASSERT_EQ(told, by_hand);
+    std::vector<int> ready_rows;
+    std::ranges::copy_if(hosts.live(), std::back_inserter(ready_rows),
+                         [&](int i) { return ready(hosts[i]); });
+    const std::vector<int> by_full_scan = ReadyByFullScan(ctx, hosts, health);
+    ASSERT_EQ(ready_rows, by_full_scan);
     const auto unfit = [&](int i) { return hosts[i].Live() && (i == host.row || !ready(hosts[i])); };
     ASSERT_EQ(std::ssize(hosts.live()) - health.watched().CountIf(unfit, {host.row}),
-              std::ssize(by_hand) - std::ranges::count(by_hand, host.row));
-    blind += std::ranges::any_of(told, [&](int i) { return ctx.now < hosts[i].out_until; });
+              std::ssize(by_full_scan) - std::ranges::count(by_full_scan, host.row));
+    all_used += std::ranges::any_of(ready_rows, [&](int i) { return ctx.now < hosts[i].out_until; });
   }
-  EXPECT_GT(blind, 100);
+  EXPECT_GT(all_used, 100);
 }
 
 }  // namespace
--- a/tests/simhost/wire_test.cpp
+++ b/tests/simhost/wire_test.cpp
@@ -33,12 +33,12 @@
   return out.str();
 }
 
-struct Ran {
+struct RunResult {
   int status;
   std::string out, errors;
 };
 
-Ran RunHost(const std::string& input) {
+RunResult RunHost(const std::string& input) {
   std::istringstream in(input);
   std::ostringstream out, errors;
   SimHost host;
@@ -46,8 +46,8 @@
   return {status, out.str(), errors.str()};
 }
 
-std::string Start() { return Batch(100, std::string(kSpawn) + "\n" + kHosts); }
-std::string Work(int id) {
+std::string StartBatch() { return Batch(100, std::string(kSpawn) + "\n" + kHosts); }
+std::string RequestMessage(int id) {
   return "WORK_ITEM\tproxy=proxy-3\tcorr=" + std::to_string(id) + "\tnotAfterMs=700\ttype=0\towner=0\n";
 }
 
@@ -68,7 +68,7 @@
 }
 
 TEST(Wire, EventsAreRead) {
-  const wire::Ended ended =
+  const wire::AttemptOutcome ended =
       wire::ReadOutcome(wire::Line("RESPONSE\tproxy=p\tcorr=12\tterminal=1\toutcome=no_connection\ttookMs=18."
                                    "5\tseqNo=2\treport=waiting:3,active:7,cpu:0.5"));
   EXPECT_EQ(ended.id, 12u);
@@ -78,8 +78,8 @@
   ASSERT_TRUE(ended.report);
   EXPECT_EQ(ended.report->queue, 3);
   EXPECT_EQ(ended.report->in_flight, 7);
-  const wire::Probed probed =
-      wire::ReadProbed(wire::Line("PROBE_RESULT\tproxy=p\thost=h:1\toutcome=no_answer\ttookMs=9"));
+  const wire::ProbeResult probed =
+      wire::ReadProbeResult(wire::Line("PROBE_RESULT\tproxy=p\thost=h:1\toutcome=no_answer\ttookMs=9"));
   EXPECT_FALSE(probed.answered || probed.report);
   const Request request =
       wire::ReadRequest(wire::Line("WORK_ITEM\tproxy=p\tcorr=4503599627370495\tresent=1\tworkHintMs=12."
@@ -119,7 +119,7 @@
 }
 
 TEST(SimHostRun, AnswersEachBatchAndEndsCleanly) {
-  const Ran ran = RunHost(Start() + Batch(105, Work(5)) + Batch(110, ""));
+  const RunResult ran = RunHost(StartBatch() + Batch(105, RequestMessage(5)) + Batch(110, ""));
   EXPECT_EQ(ran.status, 0) << ran.errors;
   EXPECT_NE(ran.out.find("LISTEN\tproxy=proxy-3\tactive=1\n"), std::string::npos);
   EXPECT_NE(ran.out.find("END\tturn=100\n"), std::string::npos);
@@ -128,26 +128,27 @@
 }
 
 TEST(SimHostRun, UnknownMessagesAndFieldsAreSkipped) {
-  const Ran ran = RunHost(Start() + Batch(105, "NEWS\tproxy=proxy-3\tanything\n" + Work(5) +
-                                                   "INBOX\tproxy=proxy-3\toriginPeer=1\tcontent=aGk=\n"));
+  const RunResult ran =
+      RunHost(StartBatch() + Batch(105, "NEWS\tproxy=proxy-3\tanything\n" + RequestMessage(5) +
+                                            "INBOX\tproxy=proxy-3\toriginPeer=1\tcontent=aGk=\n"));
   EXPECT_EQ(ran.status, 0) << ran.errors;
   EXPECT_NE(ran.out.find("PLACE"), std::string::npos);
 }
 
-TEST(SimHostRun, AnEventForAnInstanceThatIsNotAliveIsNotedAndSkipped) {
-  const Ran ran = RunHost(Start() + Batch(105, "POWER_OFF\tproxy=proxy-3\n" + Work(5)));
+TEST(SimHostRun, AnEventForAnInstanceThatIsNotAliveIsLoggedAndSkipped) {
+  const RunResult ran = RunHost(StartBatch() + Batch(105, "POWER_OFF\tproxy=proxy-3\n" + RequestMessage(5)));
   EXPECT_EQ(ran.status, 0);
   EXPECT_NE(ran.errors.find("proxy-3, which is not alive"), std::string::npos);
   EXPECT_EQ(ran.out.find("PLACE"), std::string::npos);
 }
 
-TEST(SimHostRun, AnExceptionInTheModuleIsToldForThatInstance) {
-  const Ran classless = RunHost(Batch(
+TEST(SimHostRun, AnExceptionInABalancerIsReportedForItsInstance) {
+  const RunResult classless = RunHost(Batch(
       100, "SPAWN\tproxy=proxy-1\trandomSeed=1\tservices.count=0\tbounds.sendCap=1\tfeedback.via=none\n"));
   EXPECT_EQ(classless.status, 0);
   EXPECT_NE(classless.out.find("BROKEN\tproxy=proxy-1\ttext=settings without classes\n"), std::string::npos);
-  const Ran unknown =
-      RunHost(Start() + Batch(105, "PROBE_RESULT\tproxy=proxy-3\thost=nowhere\toutcome=served\ttookMs=1\n"));
+  const RunResult unknown = RunHost(
+      StartBatch() + Batch(105, "PROBE_RESULT\tproxy=proxy-3\thost=nowhere\toutcome=served\ttookMs=1\n"));
   EXPECT_NE(unknown.out.find("BROKEN\tproxy=proxy-3\ttext=a host that no list has named\n"),
             std::string::npos);
 }
@@ -167,30 +168,31 @@
       {"ROUND\tclockMs=1\tturn=1\nINVENTORY\tsheet=0\trows=1\nOVER_TO_YOU\n",
        "line 3: a list is short of rows"},
       {"ROUND\tclockMs=1\tturn=1\nINVENTORY\tsheet=16\trows=1\n", "line 2: list number 16 is too large"},
-      {Start() + Batch(105, "SYNC\tproxy=proxy-3\tkind=all\tsheet=9\n"),
+      {StartBatch() + Batch(105, "SYNC\tproxy=proxy-3\tkind=all\tsheet=9\n"),
        "line 9: list number 9 was never sent"},
-      {Start() + Batch(105, "RESPONSE\tproxy=proxy-3\tcorr=1\tseqNo=0\toutcome=lost\n"),
+      {StartBatch() + Batch(105, "RESPONSE\tproxy=proxy-3\tcorr=1\tseqNo=0\toutcome=lost\n"),
        "line 9: unknown outcome 'lost'"},
-      {Start() + Batch(105, "WORK_ITEM\tproxy=proxy-3\tcorr=-4\ttype=0\tnotAfterMs=9\n"),
+      {StartBatch() + Batch(105, "WORK_ITEM\tproxy=proxy-3\tcorr=-4\ttype=0\tnotAfterMs=9\n"),
        "line 9: corr is no whole number: '-4'"},
   };
   for (const auto& [input, message] : cases) {
-    const Ran ran = RunHost(input);
+    const RunResult ran = RunHost(input);
     EXPECT_EQ(ran.status, 1) << message;
     EXPECT_EQ(ran.errors, message + "\n");
   }
 }
 
-TEST(SimHostRun, InstancesDoNotGainFromBeingTogether) {
+TEST(SimHostRun, InstancesDoNotAffectEachOther) {
   std::string other_spawn = kSpawn;
   other_spawn.replace(other_spawn.find("proxy-3"), 7, "proxy-4");
-  std::string alone = Start(), together = Batch(100, std::string(kSpawn) + "\n" + kHosts + other_spawn +
-                                                         "\nSYNC\tproxy=proxy-4\tkind=remembered\tsheet=2\n");
+  std::string alone = StartBatch(),
+              together = Batch(100, std::string(kSpawn) + "\n" + kHosts + other_spawn +
+                                        "\nSYNC\tproxy=proxy-4\tkind=remembered\tsheet=2\n");
   for (int i = 1; i < 40; ++i) {
-    std::string other = Work(1000 + i);
+    std::string other = RequestMessage(1000 + i);
     other.replace(other.find("proxy-3"), 7, "proxy-4");
-    alone += Batch(100 + i, Work(i));
-    together += Batch(100 + i, other + Work(i));
+    alone += Batch(100 + i, RequestMessage(i));
+    together += Batch(100 + i, other + RequestMessage(i));
   }
   const auto lines_of_3 = [](const std::string& text) {
     std::istringstream in(text);
@@ -205,9 +207,9 @@
 }
 
 TEST(SimHostRun, MutatedBatchesEndInAMessageOrACleanExit) {
-  std::string valid = Start();
+  std::string valid = StartBatch();
   for (int i = 1; i < 12; ++i) {
-    valid += Batch(100 + 5 * i, Work(i) + "RESPONSE\tproxy=proxy-3\tcorr=" + std::to_string(i) +
+    valid += Batch(100 + 5 * i, RequestMessage(i) + "RESPONSE\tproxy=proxy-3\tcorr=" + std::to_string(i) +
                                     "\toutcome=served\tterminal=1\tseqNo=0\ttookMs=4\treport=active:2\n");
   }
   std::mt19937 draw(20260);
@@ -231,7 +233,7 @@
       }
       if (text.empty()) text = "x";
     }
-    const Ran ran = RunHost(text);
+    const RunResult ran = RunHost(text);
     ASSERT_TRUE(ran.status == 0 || (ran.status == 1 && ran.errors.find("line ") != std::string::npos));
     (ran.status == 0 ? clean : failed)++;
   }
