--- a/tests/cartspring/exhaustive_test.cpp
+++ b/tests/cartspring/exhaustive_test.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 enum Event {
-  kAskSafe,
-  kAskKeyed,
-  kAskUnsafe,
+  kRequestSafe,
+  kRequestKeyed,
+  kRequestUnsafe,
   kDrain,            // b starts draining
   kColdStart,        // c restarts
   kRemoveHost,       // a complete list without host a
@@ -39,16 +39,16 @@
 
   void Play(int event) {
     switch (event) {
-      case kAskSafe:
-      case kAskKeyed:
-      case kAskUnsafe:
-        Ask(event);
+      case kRequestSafe:
+      case kRequestKeyed:
+      case kRequestUnsafe:
+        SendRequest(event);
         break;
       case kDrain:
-        Change(1, HostState::kDraining, 0);
+        ChangeHost(1, HostState::kDraining, 0);
         break;
       case kColdStart:
-        Change(2, HostState::kLive, bed_.now);
+        ChangeHost(2, HostState::kLive, bed_.now);
         break;
       case kRemoveHost:
         hosts_.erase(hosts_.begin());
@@ -75,7 +75,7 @@
     }
     RecordActions();
   }
-  void Ask(int klass) {
+  void SendRequest(int klass) {
     book_.Asked(bed_.last_id + 1, static_cast<rules::Effect>(klass), bed_.now + 800);
     bed_.Request(klass);
   }
@@ -111,7 +111,7 @@
   void RecordHost(const HostEntry& host) {
     book_.Told(host.host, host.state == HostState::kLive, host.zone, host.started_ms);
   }
-  void Change(std::size_t original_index, HostState state, double started) {
+  void ChangeHost(std::size_t original_index, HostState state, double started) {
     HostEntry& host = hosts_[hosts_.size() - (3 - original_index)];  // host a may be gone
     host.state = state;
     if (started > 0) host.started_ms = started;
@@ -220,7 +220,7 @@
   std::uint64_t number = 0;
   for (int start = 0; start <= 12; ++start) {
     for (int drain = 0; drain <= 12; ++drain) {
-      for (int klass : {kAskSafe, kAskUnsafe}) {
+      for (int klass : {kRequestSafe, kRequestUnsafe}) {
         EventPlayer player(++number, Reporting::kAnswers);
         for (int i = 0; i <= 12; ++i) {
           if (i == start) player.Play(kColdStart);
--- a/tests/cartspring/fleet.h
+++ b/tests/cartspring/fleet.h
@@ -160,7 +160,7 @@
     Balancer balancer;
   };
 
-  double Unit() { return std::uniform_real_distribution<double>(1e-9, 1)(draw_); }
+  double DrawUnit() { return std::uniform_real_distribution<double>(1e-9, 1)(draw_); }
   void Schedule(double at, std::function<void()> action) { events_.push({at, ++order_, std::move(action)}); }
   std::vector<HostEntry> Entries() const {
     auto entries = TestHosts(config_.hosts);
@@ -170,15 +170,15 @@
 
   void Arrive(int epoch) {
     if (epoch != arrival_epoch_) return;
-    Schedule(now_ - std::log(Unit()) * config_.service_ms / (config_.load * capacity_),
+    Schedule(now_ - std::log(DrawUnit()) * config_.service_ms / (config_.load * capacity_),
              [this, epoch] { Arrive(epoch); });
-    Instance& to = *instances_[static_cast<std::size_t>(Unit() * config_.instances)];
-    const int klass = static_cast<int>(Unit() * static_cast<double>(settings_.classes.size()));
+    Instance& to = *instances_[static_cast<std::size_t>(DrawUnit() * config_.instances)];
+    const int klass = static_cast<int>(DrawUnit() * static_cast<double>(settings_.classes.size()));
     Request request;
     request.id = ++last_id_;
     request.klass = klass;
     request.give_up_ms = now_ + settings_.classes[static_cast<std::size_t>(klass)].deadline_ms;
-    to.open[request.id] = {klass, now_, config_.service_ms * (0.5 + Unit()), 0, {}};
+    to.open[request.id] = {klass, now_, config_.service_ms * (0.5 + DrawUnit()), 0, {}};
     ++counts_.asked;
     to.balancer.OnRequest(now_, request);
   }
@@ -210,7 +210,7 @@
   void Cancel(Instance& from, RequestId id, int attempt) {
     const auto asked = from.open.find(id);
     if (asked == from.open.end() || asked->second.attempts_in_flight.count(attempt) == 0) return;
-    Drop(asked->second.attempts_in_flight.at(attempt));
+    DropCall(asked->second.attempts_in_flight.at(attempt));
   }
 
   // Updates whether a host is overloaded; to be called whenever its queue has changed.
@@ -240,7 +240,7 @@
              });
   }
 
-  void Drop(std::uint64_t call) {
+  void DropCall(std::uint64_t call) {
     if (calls_.count(call) == 0) return;
     RemoveFromQueue(call);
     calls_.erase(call);
@@ -263,7 +263,7 @@
     const auto found = calls_.find(call);
     if (found == calls_.end()) return;
     const Call ended = found->second;
-    Drop(call);
+    DropCall(call);
     Host& host = hosts_[static_cast<std::size_t>(ended.host)];
     Instance& to = *instances_[static_cast<std::size_t>(ended.instance_number)];
     const auto asked = to.open.find(ended.id);
--- a/tests/cartspring/host_selector_test.cpp
+++ b/tests/cartspring/host_selector_test.cpp
@@ -18,7 +18,7 @@
 }
 
 // Sends one request while probes answer with the given loads; returns the host that it went to, if any.
-std::string Decide(TestBed& bed, const std::map<std::string, double>& loads) {
+std::string SendWithLoads(TestBed& bed, const std::map<std::string, double>& loads) {
   bed.now += 1000;  // older reports are no longer fresh
   bed.out.timers.clear();
   const std::size_t probed = bed.out.probes.size();
@@ -37,7 +37,7 @@
   bed.SetHosts(TestHosts(3));
   std::map<std::string, int> chosen;
   const int requests = 20000;
-  for (int i = 0; i < requests; ++i) ++chosen[Decide(bed, {{"a", 5}, {"b", 1}, {"c", 20}})];
+  for (int i = 0; i < requests; ++i) ++chosen[SendWithLoads(bed, {{"a", 5}, {"b", 1}, {"c", 20}})];
   // Each host is passed over with r = 0.1 and the selection starts over after the last: the k-th host gets a
   // share of (1 - r) r^k / (1 - r^3).
   EXPECT_NEAR(chosen["b"] / double(requests), 0.9 / 0.999, 0.01);
@@ -49,9 +49,9 @@
   for (const double worse : {2.0, 12.0}) {
     TestBed bed(ProbeSettings());
     bed.SetHosts(TestHosts(2));
-    int passed = 0;
-    for (int i = 0; i < 10000; ++i) passed += Decide(bed, {{"a", 1}, {"b", worse}}) == "b";
-    EXPECT_NEAR(passed / 10000.0, 0.09 / 0.99, 0.012) << worse;
+    int skipped = 0;
+    for (int i = 0; i < 10000; ++i) skipped += SendWithLoads(bed, {{"a", 1}, {"b", worse}}) == "b";
+    EXPECT_NEAR(skipped / 10000.0, 0.09 / 0.99, 0.012) << worse;
   }
 }
 
@@ -59,7 +59,7 @@
   TestBed bed(ProbeSettings());
   bed.SetHosts(TestHosts(4));
   std::map<std::string, int> chosen;
-  for (int i = 0; i < 8000; ++i) ++chosen[Decide(bed, {{"a", 3}, {"b", 3}, {"c", 3}, {"d", 3}})];
+  for (int i = 0; i < 8000; ++i) ++chosen[SendWithLoads(bed, {{"a", 3}, {"b", 3}, {"c", 3}, {"d", 3}})];
   for (const auto& [host, count] : chosen) EXPECT_NEAR(count, 2000, 200) << host;
   EXPECT_EQ(chosen.size(), 4u);
 }
@@ -67,7 +67,7 @@
 TEST(HostSelection, ASingleHostIsAlwaysChosen) {
   TestBed bed(ProbeSettings());
   bed.SetHosts(TestHosts(1));
-  for (int i = 0; i < 2000; ++i) EXPECT_EQ(Decide(bed, {{"a", 3}}), "a");
+  for (int i = 0; i < 2000; ++i) EXPECT_EQ(SendWithLoads(bed, {{"a", 3}}), "a");
 }
 
 TEST(HostSelection, LoadIsDividedByTheWeightWhereWeightsAreKnown) {
@@ -79,7 +79,7 @@
     hosts[0].weight = 4;
     bed.SetHosts(hosts);
     int large = 0;
-    for (int i = 0; i < 1000; ++i) large += Decide(bed, {{"a", 6}, {"b", 4}}) == "a";
+    for (int i = 0; i < 1000; ++i) large += SendWithLoads(bed, {{"a", 6}, {"b", 4}}) == "a";
     EXPECT_EQ(large > 500, known);
   }
 }
@@ -203,7 +203,7 @@
 }  // namespace
 
 // The hosts that an instance uses for this many requests, sent one after another.
-std::set<std::string> Used(TestBed& bed, int requests) {
+std::set<std::string> HostsUsed(TestBed& bed, int requests) {
   std::set<std::string> used;
   for (int i = 0; i < requests; ++i) {
     bed.now += 1000;  // older reports are no longer fresh
@@ -222,7 +222,7 @@
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     TestBed bed(settings, seed);
     bed.SetHosts(TestHosts(20));
-    const std::set<std::string> used = Used(bed, 60);
+    const std::set<std::string> used = HostsUsed(bed, 60);
     EXPECT_EQ(used.size(), 3u) << seed;
     all.insert(used.begin(), used.end());
   }
@@ -234,11 +234,11 @@
   settings.balancers = 300;
   TestBed bed(settings);
   bed.SetHosts(TestHosts(20));
-  const std::set<std::string> before = Used(bed, 60);
+  const std::set<std::string> before = HostsUsed(bed, 60);
   auto hosts = TestHosts(20);
   std::erase_if(hosts, [&](const HostEntry& entry) { return entry.host == *before.begin(); });
   bed.SetHosts(hosts);
-  const std::set<std::string> after = Used(bed, 60);
+  const std::set<std::string> after = HostsUsed(bed, 60);
   EXPECT_EQ(after.size(), 3u);
   EXPECT_EQ(after.count(*before.begin()), 0u);
   EXPECT_TRUE(std::includes(after.begin(), after.end(), std::next(before.begin()), before.end()));
--- a/tests/cartspring/recovery_test.cpp
+++ b/tests/cartspring/recovery_test.cpp
@@ -14,7 +14,7 @@
 constexpr double kRecoveryServiceTimes = 400;
 constexpr double kServiceMs = 8;
 
-Settings FleetSettings() {
+Settings RecoverySettings() {
   Settings s = TestSettings();
   RequestClass check{.name = "check", .aim_ms = 300, .deadline_ms = 1340, .worth = 2, .late_worth = 0.2};
   RequestClass hold{.name = "hold", .aim_ms = 200, .deadline_ms = 1340, .worth = 8, .late_worth = 0.5};
@@ -45,7 +45,7 @@
 
 TEST(Recovery, ABurstBeyondCapacityOverloadsNoHostAndRecovers) {
   for (const std::uint32_t seed : {1u, 2u, 3u}) {
-    Fleet fleet(MakeConfig(0.6, seed), FleetSettings());
+    Fleet fleet(MakeConfig(0.6, seed), RecoverySettings());
     fleet.AdvanceTo(fleet.now() + 3000);
     fleet.config().load = 2;
     for (int second = 0; second < 5; ++second) {
@@ -61,7 +61,7 @@
 TEST(Recovery, ManyInstancesWithSmallSharesRefuseNothingWithinCapacity) {
   FleetConfig config = MakeConfig(0.7, 5);
   config.instances = 8;
-  Fleet fleet(config, FleetSettings());
+  Fleet fleet(config, RecoverySettings());
   fleet.AdvanceTo(fleet.now() + 3000);
   const Fleet::Counts counts = fleet.AdvanceTo(fleet.now() + 20000);
   EXPECT_GT(counts.asked, 5000);
@@ -70,7 +70,7 @@
 }
 
 TEST(Recovery, LostAnswersDoNotMakeHostsLookFull) {
-  Fleet fleet(MakeConfig(0.55, 9), FleetSettings());
+  Fleet fleet(MakeConfig(0.55, 9), RecoverySettings());
   fleet.AdvanceTo(fleet.now() + 3000);
   int answers = 0;
   fleet.loses_answer = [&] { return ++answers % 4 == 0; };
@@ -137,7 +137,7 @@
        }},
   };
   for (const Fault& fault : faults) {
-    Fleet fleet(MakeConfig(0.5, 7), FleetSettings());
+    Fleet fleet(MakeConfig(0.5, 7), RecoverySettings());
     fleet.AdvanceTo(fleet.now() + 3000);
     fault.start(fleet);
     fleet.AdvanceTo(fleet.now() + 5000);
--- a/tests/cartspring/rules_test.cpp
+++ b/tests/cartspring/rules_test.cpp
@@ -126,7 +126,8 @@
 
 // Lets every attempt of a keyed request end with `outcome`, `pause` ms after it was sent; returns the hosts
 // that it went to.
-std::vector<std::string> KeyedHosts(RepeatGroup group, Outcome outcome, double pause, double window) {
+std::vector<std::string> HostsOfKeyedAttempts(RepeatGroup group, Outcome outcome, double pause,
+                                              double window) {
   Settings settings = TestSettings();
   settings.classes[kKeyedClass].group = group;
   settings.classes[kKeyedClass].repeat_window_ms = window;
@@ -147,29 +148,29 @@
 }
 
 TEST(NoEffectTwice, AKeyedRequestStaysWithinItsCell) {
-  const auto hosts = KeyedHosts(RepeatGroup::kCell, Outcome::kError, 5, 300);
+  const auto hosts = HostsOfKeyedAttempts(RepeatGroup::kCell, Outcome::kError, 5, 300);
   ASSERT_GT(hosts.size(), 1u);
   for (const auto& host : hosts) EXPECT_EQ((host[0] - 'a') % 4, (hosts[0][0] - 'a') % 4);
 }
 
 TEST(NoEffectTwice, AKeyedRequestStaysWithinItsZone) {
-  const auto hosts = KeyedHosts(RepeatGroup::kZone, Outcome::kError, 5, 300);
+  const auto hosts = HostsOfKeyedAttempts(RepeatGroup::kZone, Outcome::kError, 5, 300);
   ASSERT_GT(hosts.size(), 1u);
   for (const auto& host : hosts) EXPECT_EQ((host[0] - 'a') % 2, (hosts[0][0] - 'a') % 2);
 }
 
 TEST(NoEffectTwice, AKeyedRequestOfGroupAllGoesAnywhere) {
-  EXPECT_GT(KeyedHosts(RepeatGroup::kAll, Outcome::kError, 5, 300).size(), 1u);
+  EXPECT_GT(HostsOfKeyedAttempts(RepeatGroup::kAll, Outcome::kError, 5, 300).size(), 1u);
 }
 
 TEST(NoEffectTwice, NoRepeatPastTheWindowOfTheEarliestAttempt) {
   // Attempts 60 ms apart with a window of 100 ms: the second is within it. The third is not, although it is
   // only 60 ms after the second.
-  EXPECT_EQ(KeyedHosts(RepeatGroup::kCell, Outcome::kError, 60, 100).size(), 2u);
-  EXPECT_EQ(KeyedHosts(RepeatGroup::kAll, Outcome::kError, 60, 100).size(), 2u);
+  EXPECT_EQ(HostsOfKeyedAttempts(RepeatGroup::kCell, Outcome::kError, 60, 100).size(), 2u);
+  EXPECT_EQ(HostsOfKeyedAttempts(RepeatGroup::kAll, Outcome::kError, 60, 100).size(), 2u);
 }
 
-constexpr double kNoBound = std::numeric_limits<double>::infinity();
+constexpr double kNoSendDeadline = std::numeric_limits<double>::infinity();
 
 TEST(NoEffectTwice, OnlyARepeatHasASendDeadline) {
   for (const int klass : {kSafeClass, kKeyedClass, kUnsafeClass}) {
@@ -184,17 +185,17 @@
       bed.AdvanceTo(sent_ms + 40);
       bed.EndAttempt(id, 0, outcome);
       bed.AdvanceTo(sent_ms + 60);
-      EXPECT_EQ(bed.out.sends.front().out_by_ms, kNoBound);
+      EXPECT_EQ(bed.out.sends.front().out_by_ms, kNoSendDeadline);
       if (klass == kUnsafeClass && outcome == Outcome::kError) continue;  // it gets no second attempt
       ASSERT_EQ(bed.out.sends.size(), 2u);
-      const bool bound = klass == kKeyedClass && outcome == Outcome::kError;
-      EXPECT_EQ(bed.out.sends.back().out_by_ms, bound ? sent_ms + 300 : kNoBound);
+      const bool has_send_deadline = klass == kKeyedClass && outcome == Outcome::kError;
+      EXPECT_EQ(bed.out.sends.back().out_by_ms, has_send_deadline ? sent_ms + 300 : kNoSendDeadline);
     }
   }
 }
 
 TEST(NoEffectTwice, AttemptsThatNeverRanDoNotRestrictAKeyedRequest) {
-  const auto hosts = KeyedHosts(RepeatGroup::kCell, Outcome::kConnectFailed, 60, 100);
+  const auto hosts = HostsOfKeyedAttempts(RepeatGroup::kCell, Outcome::kConnectFailed, 60, 100);
   EXPECT_EQ(hosts.size(), 4u);
 }
 
--- a/tests/cartspring/steps_test.cpp
+++ b/tests/cartspring/steps_test.cpp
@@ -140,8 +140,8 @@
                          [&](int i) { return ready(hosts[i]); });
     const std::vector<int> by_full_scan = ReadyByFullScan(ctx, hosts, health);
     ASSERT_EQ(ready_rows, by_full_scan);
-    const auto unfit = [&](int i) { return hosts[i].Live() && (i == host.row || !ready(hosts[i])); };
-    ASSERT_EQ(std::ssize(hosts.live()) - health.watched().CountIf(unfit, {host.row}),
+    const auto not_ready = [&](int i) { return hosts[i].Live() && (i == host.row || !ready(hosts[i])); };
+    ASSERT_EQ(std::ssize(hosts.live()) - health.watched().CountIf(not_ready, {host.row}),
               std::ssize(by_full_scan) - std::ranges::count(by_full_scan, host.row));
     all_used += std::ranges::any_of(ready_rows, [&](int i) { return ctx.now < hosts[i].out_until; });
   }
