--- a/tests/cartspring/module_test.cpp
+++ b/tests/cartspring/module_test.cpp
@@ -52,7 +52,7 @@
   std::set<std::string> used;
   for (int i = 0; i < 100; ++i) {
     const RequestId id = bed.Request(kUnsafeClass);
-    ASSERT_EQ(bed.out.sends.back().id, id) << "held although hosts are listed";
+    ASSERT_EQ(bed.out.sends.back().id, id) << "not sent although hosts are listed";
     if (i >= 50) used.insert(bed.out.sends.back().host);
     bed.EndAttempt(id, 0, Outcome::kError);
   }
--- a/tests/cartspring/random_events_test.cpp
+++ b/tests/cartspring/random_events_test.cpp
@@ -180,11 +180,12 @@
     EXPECT_FALSE(request.over) << "sent after its end";
     EXPECT_LT(request.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
     const double since = not_live_since_.at(sent.host);
-    EXPECT_TRUE(since < 0 || bed_.now <= since + settings_.drain_grace_ms) << "drain broken";
+    EXPECT_TRUE(since < 0 || bed_.now <= since + settings_.drain_grace_ms)
+        << "sent to a draining host after the grace period";
     for (const Attempt& earlier : request.attempts) {
       EXPECT_TRUE(!earlier.pending || settings_.may_duplicate);
       if (!earlier.may_have_run || klass.effect == Effect::kSafe) continue;
-      EXPECT_NE(klass.effect, Effect::kUnsafe) << "effect twice";
+      EXPECT_NE(klass.effect, Effect::kUnsafe) << "sent again though it may have run";
       EXPECT_LE(bed_.now, earlier.at + klass.repeat_window_ms);
       if (klass.group == RepeatGroup::kZone) {
         EXPECT_EQ(Entry(earlier.host).zone, Entry(sent.host).zone);
--- a/tests/cartspring/recovery_test.cpp
+++ b/tests/cartspring/recovery_test.cpp
@@ -100,21 +100,21 @@
                  [](Fleet& f) { f.distort_load = nullptr; }};
   };
   const std::vector<Fault> faults = {
-      outcome("every answer an error", Outcome::kError),
-      outcome("all turned away", Outcome::kRefusedByHost),
-      outcome("no connection", Outcome::kConnectFailed),
+      outcome("every outcome an error", Outcome::kError),
+      outcome("every attempt refused by its host", Outcome::kRefusedByHost),
+      outcome("no connection can be made", Outcome::kConnectFailed),
       outcome("every connection lost", Outcome::kConnectionLost),
-      took("answers in no time", [](double) { return 0; }),
-      took("answers a thousand times later", [](double t) { return 1000 * t; }),
-      took("endless answers", [kInf](double) { return kInf; }),
-      took("answers after no number", [kNan](double) { return kNan; }),
-      distort_load("a million held", [](double) { return 1e6; }),
-      distort_load("endless held", [kInf](double) { return kInf; }),
-      distort_load("no number held", [kNan](double) { return kNan; }),
-      distort_load("nothing held by full hosts", [](double) { return 0; }),
-      {"no reports", [](Fleet& f) { f.config().send_reports = false; },
+      took("duration reported as 0", [](double) { return 0; }),
+      took("duration reported as 1000 times the true one", [](double t) { return 1000 * t; }),
+      took("duration reported as infinite", [kInf](double) { return kInf; }),
+      took("duration reported as NaN", [kNan](double) { return kNan; }),
+      distort_load("load reported as a million", [](double) { return 1e6; }),
+      distort_load("load reported as infinite", [kInf](double) { return kInf; }),
+      distort_load("load reported as NaN", [kNan](double) { return kNan; }),
+      distort_load("load of busy hosts reported as 0", [](double) { return 0; }),
+      {"no load reports", [](Fleet& f) { f.config().send_reports = false; },
        [](Fleet& f) { f.config().send_reports = true; }},
-      {"thirty times slower",
+      {"hosts thirty times slower",
        [](Fleet& f) {
          f.config().service_ms *= 30;
          f.config().load *= 30;
@@ -123,13 +123,13 @@
          f.config().service_ms /= 30;
          f.config().load /= 30;
        }},
-      {"nothing asked for an hour", [](Fleet& f) { f.config().load = 1e-6; },
+      {"no requests for an hour", [](Fleet& f) { f.config().load = 1e-6; },
        [](Fleet& f) {
          f.AdvanceTo(f.now() + 3.6e6);
          f.config().load = 0.5;
          f.RedrawArrival();
        }},
-      {"all instances started again", [](Fleet& f) { f.config().load = 1.5; },
+      {"all instances restarted under overload", [](Fleet& f) { f.config().load = 1.5; },
        [](Fleet& f) {
          f.config().load = 0.5;
          f.Restart(0);
