--- a/src/simhost/wire.h
+++ b/src/simhost/wire.h
@@ -81,7 +81,7 @@
   std::optional<LoadReport> report;
 };
 
-// Readers of single messages. Each throws ParseError for a missing or malformed field.
+// Readers of single messages. Each throws ParseError if a required field is missing or a field is malformed.
 std::string_view Instance(const Line& line);
 BatchOpen ReadBatchOpen(const Line& line);
 std::uint64_t ReadSeed(const Line& line);
--- a/tests/cartspring/exhaustive_test.cpp
+++ b/tests/cartspring/exhaustive_test.cpp
@@ -19,8 +19,8 @@
   kColdStart,        // c restarts
   kRemoveHost,       // a complete list without host a
   kTimeOut,          // the oldest attempt in flight times out
-  kBreakConnection,  // the oldest attempt's connection breaks
-  kRefuse,           // the oldest attempt is refused by its host: it never ran
+  kBreakConnection,  // its connection breaks
+  kRefuse,           // its host refuses it: it never ran
   kClientLeaves,     // the client of the oldest open request goes away
   kAdvanceTime,      // 120 ms pass
   kEventCount,
--- a/tests/cartspring/host_selector_test.cpp
+++ b/tests/cartspring/host_selector_test.cpp
@@ -1,4 +1,4 @@
-// Host selection: ranking, ties, the share of best hosts that are passed over, and ranking with few or no
+// Host selection: ranking, ties, the probability of passing over a host, and ranking with few or no
 // load reports.
 #include <gtest/gtest.h>
 
--- a/tests/cartspring/rules_test.cpp
+++ b/tests/cartspring/rules_test.cpp
@@ -301,8 +301,8 @@
 }
 
 TEST(ColdHostsNotOverloaded, AnIdleColdHostGetsLessThanItsCapacityFromAllInstancesTogether) {
-  // Each instance limits the cold host to its fair share x half of fall_multiple x its warmth: 1.5 x 0.2
-  // / 10.
+  // Each instance limits a cold host to its fair share times half of fall_multiple times its warmth, which is
+  // 1.5 x 0.2 / 10 here.
   const double cold = ColdShare(0, 10);
   EXPECT_GT(cold, 0.005);
   EXPECT_LT(cold, 0.045);
--- a/tests/cartspring/steps_test.cpp
+++ b/tests/cartspring/steps_test.cpp
@@ -48,8 +48,8 @@
   EXPECT_NEAR(ratio(), 1, 1e-6);
 }
 
-// A fifth of the outcomes of a host kind are forty times slower than the rest: this must be attributed to the
-// single hosts, not to the kind.
+// A fifth of the hosts of a kind are forty times slower than the others: this must be attributed to these
+// hosts, not to their kind.
 TEST(Steps, AFifthOfOutliersDoesNotMoveTheEstimateOfTheirKind) {
   Context ctx{TestSettings(), Random(1)};
   Estimates estimates(ctx);
