--- a/src/router/evacuated_zones.h
+++ b/src/router/evacuated_zones.h
@@ -1,9 +1,10 @@
-// Which zones' servers get nothing new from this router: a decider.
+// Determines the zones whose servers get no new requests from this router; pure decision logic without I/O.
 //
-// Those that the operator has evacuated, and each for kAfterEvacuationMs after it was taken back: its servers
-// may have become cold meanwhile, and the platform's list tells that late.
+// These are the zones that the operator has evacuated. A zone stays excluded for another kAfterEvacuationMs
+// after its evacuation has ended: its servers may have become cold in the meantime, and the platform's list
+// reports that late.
 //
-// Bounds: a row for each zone. Not thread-safe. Times are in milliseconds on one clock.
+// Bounds: one row for each zone. Not thread-safe. Times are in milliseconds on one clock.
 #ifndef BITTERNMUX_SRC_ROUTER_EVACUATED_ZONES_H_
 #define BITTERNMUX_SRC_ROUTER_EVACUATED_ZONES_H_
 
@@ -20,17 +21,18 @@
 
 class EvacuatedZones {
  public:
-  // What is evacuated from now on. True: that is other than before.
+  // Sets the zones that are evacuated from now on. Returns whether this is a change.
   bool Set(double now_ms, const std::vector<std::string>& zones);
-  // True: a zone may get requests again.
+  // Ends exclusions whose delay has passed. Returns whether a zone may get requests again.
   bool Tick(double now_ms);
   bool IsOut(const std::string& zone) const { return evacuated_.contains(zone) || returning_.contains(zone); }
-  // The list with the servers of zones that are out taken as draining.
+  // Returns the list with the servers of excluded zones marked as draining.
   fleet::ServerMap Drained(fleet::ServerMap servers) const;
 
  private:
   std::set<std::string> evacuated_;
-  std::map<std::string, double> returning_;  // zones that were taken back, and until when they stay out
+  std::map<std::string, double>
+      returning_;  // zones whose evacuation has ended, and until when they stay excluded
 };
 
 }  // namespace bitternmux::router
--- a/src/router/event_stream.cpp
+++ b/src/router/event_stream.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kIdField = "id";
 constexpr std::string_view kDataField = "data";
 
-// The first line of the text, which is cut off with its end.
+// Returns the first line of the text, and removes it with its line end.
 std::string_view TakeLine(std::string_view& text) {
   const auto end = text.find_first_of("\r\n");
   const std::string_view line = text.substr(0, end);
@@ -36,7 +36,7 @@
   return {line.substr(0, colon), value};
 }
 
-// An id that the line gives; none if it gives none. One with a NUL counts for nothing.
+// The id set by the field; none if it sets none. The format requires that an id with a NUL is ignored.
 std::optional<std::string_view> IdOf(const EventField& field) {
   if (field.name != kIdField || field.value.find('\0') != field.value.npos) return std::nullopt;
   return field.value;
@@ -50,7 +50,7 @@
   return std::nullopt;
 }
 
-// Ids ascend; such as are no whole numbers cannot be compared.
+// Ids ascend. Ids that are not whole numbers cannot be compared and count as following.
 bool IsBehind(std::string_view id, std::string_view last) {
   const auto number = http::WholeNumber(id), last_number = http::WholeNumber(last);
   return !number || !last_number || *number > *last_number;
@@ -69,8 +69,8 @@
   return events;
 }
 
-// A CR ends its line at once only where lines end so: else its LF, which belongs to it, may still be on its
-// way.
+// A CR ends its line at once only if lines of this stream are known to end with a CR alone. Otherwise the
+// LF that belongs to it may still arrive.
 void EventCutter::TakeByte(char byte) {
   if (after_cr_) {
     after_cr_ = false;
@@ -92,7 +92,7 @@
   if (line_over_) LineEnds(scanned_ + 1);
 }
 
-// Empty lines in front of an event belong to it.
+// Empty lines before an event belong to it.
 void EventCutter::LineEnds(std::size_t at) {
   if (line_has_bytes_) {
     event_has_lines_ = true;
--- a/src/router/first_event_model.cpp
+++ b/src/router/first_event_model.cpp
@@ -7,7 +7,7 @@
 namespace bitternmux::router {
 namespace {
 
-// Answers that lie behind the start: a short and a long prompt, and a busy server.
+// Answers that make up the prior: a short prompt, a long prompt, and a busy server.
 constexpr std::array<WorkAhead, 4> kStartAnswers = {{{0, 0}, {500, 2}, {4000, 4}, {1000, 20}}};
 constexpr double kLeastPivot = 1e-9;
 
@@ -31,7 +31,7 @@
   }
 }
 
-// An answer weighs the less the longer it takes: what is to be right is the share, not the difference.
+// Slower answers have less weight, so that the relative error is minimised and not the absolute one.
 double FirstEventModel::WeightAt(double expected_ms) {
   return std::min(1.0, kStartBaseMs / std::max(expected_ms, 1.0));
 }
@@ -43,12 +43,13 @@
   }
   for (double& moment : moments_) moment *= kKept;
   const double expected_ms = std::max(Expected(work), 1.0);
-  const double limited_ms = std::min(came_ms, 4 * expected_ms + 100);  // one that hung says little
+  const double limited_ms =
+      std::min(came_ms, 4 * expected_ms + 100);  // limits the influence of an answer that hung
   Add(TermsOf(work), limited_ms, WeightAt(expected_ms));
   Solve();
 }
 
-// Gauss' elimination; the matrix is symmetric and, by the start, not singular.
+// Gaussian elimination. The matrix is symmetric and, because of the prior, not singular.
 void FirstEventModel::Solve() {
   std::array<Terms, kTerms> matrix = products_;
   Terms right = moments_;
--- a/src/router/first_event_model.h
+++ b/src/router/first_event_model.h
@@ -1,13 +1,15 @@
-// How long a server takes to its first event, learned from what answers show: a decider.
+// Estimates the time to the first event of a server, learned from its answers; pure decision logic without
+// I/O.
 //
-// For each service one line is fitted to this router's own answers,
+// For each service one linear model is fitted to this router's own answers,
 //
-//   first event = base + per token x (tokens to be read there) + per request x (requests in work there)
+//   first event = base + per token x (tokens to be prefilled there) + per request x (requests in work there)
 //
-// by least squares that forget (kMemory answers), from a start that counts as kStartWeight answers. Beside it
-// each server has a factor: what its answers took, over what the line said, over some seconds. So a server
-// that is three times as slow or fast as the others is judged by its own answers, and one that changes speed
-// is judged anew; one that is not heard of goes back to the line.
+// by least squares with exponential forgetting (kMemory answers), from a prior that counts as kStartWeight
+// answers. In addition each server has a factor: the time that its answers took divided by the model's
+// estimate, over some seconds. Thus a server that is three times as slow or as fast as the others is judged
+// by its own answers, and one that changes its speed is judged anew. The factor of a server without answers
+// returns to 1.
 //
 // Bounds: three coefficients for each service, none below 0; factors between kLeastFactor and kMostFactor.
 // Times in milliseconds. Not thread-safe.
@@ -18,10 +20,10 @@
 
 namespace bitternmux::router {
 
-// What lies before a first event at a server.
+// Work that a server has to do before the first event of a request.
 struct WorkAhead {
-  double tokens = 0;    // to be read: its own and those of requests that have not begun
-  double requests = 0;  // in work besides
+  double tokens = 0;    // to be prefilled: those of the request and of requests that have not begun
+  double requests = 0;  // other requests in work
 };
 
 class FirstEventModel {
@@ -45,12 +47,12 @@
   void Add(const Terms& terms, double came_ms, double weight);
   void Solve();
 
-  std::array<Terms, kTerms> products_{};  // weighted sums of products of the terms
-  Terms moments_{};                       // and of the terms with the times
+  std::array<Terms, kTerms> products_{};  // weighted sums of the products of the terms
+  Terms moments_{};                       // weighted sums of the products of the terms and the times
   Terms coefficients_ = {kStartBaseMs, kStartMsPerToken, kStartMsPerRequest};
 };
 
-// One server's pace beside the model of its service.
+// The pace of one server relative to the model of its service: above 1 if it is slower.
 class PaceFactor {
  public:
   static constexpr double kLeastFactor = 0.2, kMostFactor = 8;
@@ -60,7 +62,7 @@
 
  private:
   static constexpr double kFadeMs = 6000;
-  static constexpr double kUsualMs = 1500;  // of expected time that speaks for the line
+  static constexpr double kUsualMs = 1500;  // expected time that the prior (factor 1) counts as
 
   double expected_ms_ = 0, came_ms_ = 0, at_ms_ = 0;
 };
--- a/src/router/prefix_index.cpp
+++ b/src/router/prefix_index.cpp
@@ -11,7 +11,7 @@
   if (parts.size() > kMaxParts) Trim(parts);
 }
 
-// Lets the older half go, so that it is rarely due.
+// Evicts the older half, so that trimming is rarely needed.
 void PrefixIndex::Trim(Parts& parts) {
   std::vector<double> times;
   times.reserve(parts.size());
--- a/src/router/prefix_index.h
+++ b/src/router/prefix_index.h
@@ -1,10 +1,11 @@
-// Which parts of prompts a server is believed to keep: inferred from what was sent to it, since nobody tells.
+// Tracks which parts of prompts a server is believed to have cached. This is inferred from what was sent to
+// it, because servers do not report it.
 //
-// Two sources. What this router has sent there lately; and a home for each part, which all routers agree on
-// without asking, by the highest hash of the part and the server's id (rendezvous hashing): since the walk
-// prefers a home, it keeps the part.
+// There are two sources: what this router has sent there recently, and a home server for each part, on
+// which all routers agree without communicating. The home has the highest hash of the part and the server's
+// id (rendezvous hashing); since server selection prefers the home, the part stays cached there.
 //
-// Bounds: kMaxParts parts for each server, of which those unused for the longest give way.
+// Bounds: kMaxParts parts for each server; the least recently used are evicted.
 #ifndef BITTERNMUX_SRC_ROUTER_PREFIX_INDEX_H_
 #define BITTERNMUX_SRC_ROUTER_PREFIX_INDEX_H_
 
@@ -20,16 +21,16 @@
 class PrefixIndex {
  public:
   static constexpr std::size_t kMaxParts = 2048;
-  static constexpr double kKeptMs = 20'000;  // for which a part that is not used is believed to be kept
+  static constexpr double kKeptMs = 20'000;  // an unused part is assumed to stay cached this long
 
   void Sent(double now_ms, const std::string& server, const Prompt& prompt);
   void Forget(const std::string& server) { servers_.erase(server); }
   bool Keeps(double now_ms, const std::string& server, std::uint64_t chain) const;
-  // How well a server suits a part as its home: the one with the highest weight is it.
+  // The rendezvous weight of a server for a part: the server with the highest weight is the part's home.
   static std::uint64_t HomeWeight(std::uint64_t chain, std::string_view server);
 
  private:
-  using Parts = std::unordered_map<std::uint64_t, double>;  // chain: when it was last sent
+  using Parts = std::unordered_map<std::uint64_t, double>;  // by chain hash: when the part was last sent
   static void Trim(Parts& parts);
 
   std::unordered_map<std::string, Parts> servers_;
--- a/src/router/prompt.cpp
+++ b/src/router/prompt.cpp
@@ -7,7 +7,7 @@
 namespace bitternmux::router {
 namespace {
 
-// A step of splitmix64: spreads what is chained over all bits.
+// One step of splitmix64: spreads the bits of the chained value over the whole word.
 std::uint64_t Mix(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15u;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9u;
--- a/src/router/prompt.h
+++ b/src/router/prompt.h
@@ -1,4 +1,4 @@
-// What a request tells of its prompt in its headers.
+// Parses the description of its prompt that a request carries in its headers.
 #ifndef BITTERNMUX_SRC_ROUTER_PROMPT_H_
 #define BITTERNMUX_SRC_ROUTER_PROMPT_H_
 
@@ -9,15 +9,15 @@
 
 namespace bitternmux::router {
 
-// One part of a prompt that may be shared with others. `chain` stands for it and for all parts before it: a
-// server keeps a part only together with these.
+// A part of a prompt that other prompts may share. `chain` is a hash that identifies this part together
+// with all parts before it: a server caches a part only together with these.
 struct PromptPart {
   std::uint64_t chain = 0;
   double tokens = 0;
 };
 
 struct Prompt {
-  double tokens_in = 0, tokens_out = 0;  // the most to be generated
+  double tokens_in = 0, tokens_out = 0;  // tokens_out: maximum to be generated
   std::vector<PromptPart> parts;
 
   double Total() const { return tokens_in + tokens_out; }
@@ -25,10 +25,11 @@
 
 constexpr std::size_t kMaxPromptParts = 16;
 
-// `token_count`: "in,out". None if it is not two numbers.
+// `token_count` has the form "in,out". Returns nothing if it is not two numbers.
 std::optional<Prompt> ReadTokenCount(std::string_view token_count);
 
-// `prefix`: "ID:TOKENS,ID:TOKENS,...". What cannot be read ends the list.
+// `prefix` has the form "ID:TOKENS,ID:TOKENS,...", with hexadecimal ids. The list ends before the first
+// entry that cannot be parsed.
 std::vector<PromptPart> ReadPromptPrefix(std::string_view prefix);
 
 }  // namespace bitternmux::router
--- a/src/router/request_headers.cpp
+++ b/src/router/request_headers.cpp
@@ -7,7 +7,7 @@
 namespace bitternmux::router {
 namespace {
 
-// Headers that concern one connection, or that this router sets itself.
+// Headers that concern a single connection, or that this router sets itself.
 constexpr std::array<std::string_view, 16> kNotPassedOn = {"connection",
                                                            "keep-alive",
                                                            "proxy-connection",
--- a/src/router/request_headers.h
+++ b/src/router/request_headers.h
@@ -1,5 +1,5 @@
-// The headers of requests and answers on their way through the router: which are passed on, and what the
-// router reads from them.
+// Headers of requests and answers on their way through the router: which of them are forwarded, and what
+// the router reads from them.
 #ifndef BITTERNMUX_SRC_ROUTER_REQUEST_HEADERS_H_
 #define BITTERNMUX_SRC_ROUTER_REQUEST_HEADERS_H_
 
@@ -13,19 +13,19 @@
 
 namespace bitternmux::router {
 
-// False: the header concerns one connection, or the router sets it itself.
+// Whether a request header is forwarded: not if it concerns one connection or the router sets it.
 bool IsPassedOn(std::string_view name);
 
-// An answer's headers that go to the client.
+// The headers of an answer that are returned to the client.
 http::Headers PassedBack(const http::Message& head);
 
-// What the server tells of its load; none if it does not, or not as three whole numbers.
+// The load that the server reports; none if there is no report or it is not three whole numbers.
 std::optional<LoadReport> ReadLoad(const http::Message& head);
 
-// Statuses that promise that the request has not run and never will.
+// Whether the status guarantees that the request has not run and never will.
 bool PromisesNotRun(int status);
 
-// Milliseconds as the seconds of a header.
+// Formats milliseconds as seconds for a header.
 std::string SecondsText(double ms);
 
 }  // namespace bitternmux::router
--- a/src/router/retry_budget.cpp
+++ b/src/router/retry_budget.cpp
@@ -5,8 +5,8 @@
 
 namespace bitternmux::router {
 
-// A bucket holds a part of the window; one more than the window has is kept, so that what is counted is never
-// less than a whole window.
+// Each bucket covers a part of the window. One bucket more than the window needs is kept, so that the
+// counts always cover at least a whole window.
 RetryBudget::Bucket& RetryBudget::BucketAt(double now_ms, Window& window) const {
   const double width_ms = limits_.window_ms / static_cast<double>(kBuckets - 1);
   const auto number = static_cast<std::int64_t>(std::floor(now_ms / width_ms));
--- a/src/router/retry_budget.h
+++ b/src/router/retry_budget.h
@@ -1,15 +1,16 @@
-// How many repeats this router may send to a service: a decider.
+// Limits the retries that this router may send to a service; pure decision logic without I/O.
 //
-// The budget holds over all routers together: in any window no more arrivals beyond the first of each request
-// than `ratio` times the requests, and a slack. The ratio is kept by each router for its own requests, which
-// sums up by itself; the slack is divided by the number of routers. What may be wrong with that number is
-// covered by kCaution.
+// The limit holds for all routers together: in any window, the arrivals beyond the first of each request
+// number at most `ratio` times the requests, plus `slack`. Each router applies the ratio to its own
+// requests, so the sum over the routers keeps it as well. The slack is divided by the number of routers;
+// kCaution covers errors in that number.
 //
-// A router that has just started does not know what its former life has spent. So its part of the slack grows
-// from nothing over a window: what all lives of a router spend of it in one window is at most what the life
-// before may have spent at once, and as much again as time passes; kSlackCaution is the half of that.
+// A router that has just started does not know what its previous process spent. Its part of the slack
+// therefore grows from 0 over one window. All processes of a router together then spend, in one window, at
+// most what the previous process may have spent at once and the same amount again as time passes; hence
+// kSlackCaution is one half.
 //
-// Bounds: kBuckets counts for each service that was asked for.
+// Bounds: kBuckets counts for each service that was requested.
 #ifndef BITTERNMUX_SRC_ROUTER_RETRY_BUDGET_H_
 #define BITTERNMUX_SRC_ROUTER_RETRY_BUDGET_H_
 
@@ -26,13 +27,13 @@
     double ratio = 0, slack = 0, window_ms = 1;
   };
 
-  // `started_ms`: when this life of the router began.
+  // `started_ms`: when this router process started.
   RetryBudget(const Limits& limits, double started_ms) : limits_(limits), started_ms_(started_ms) {}
 
   void SetRouters(std::size_t count) { routers_ = count > 0 ? static_cast<double>(count) : 1; }
-  // A request for the service has come.
+  // Counts a request for the service.
   void Count(double now_ms, const std::string& service);
-  // May a request be sent to the service once more? If so, that is counted.
+  // Whether another attempt of a request may be sent to the service; if so, it is counted.
   bool Spend(double now_ms, const std::string& service);
 
  private:
--- a/src/router/route_table.h
+++ b/src/router/route_table.h
@@ -1,5 +1,5 @@
-// What a configuration says of a request: its route, its tenant, its service. Plain look-ups, made once for
-// each version; a request holds the table that it was admitted by for as long as it lives.
+// Look-up of the route, tenant and service of a request in a configuration. The tables are built once for
+// each version; a request keeps the table by which it was admitted until it ends.
 #ifndef BITTERNMUX_SRC_ROUTER_ROUTE_TABLE_H_
 #define BITTERNMUX_SRC_ROUTER_ROUTE_TABLE_H_
 
@@ -18,12 +18,12 @@
   RouteTable(const RouteTable&) = delete;
   RouteTable& operator=(const RouteTable&) = delete;
 
-  // Among the routes of that host, the one with the longest prefix that begins the path; null: none does.
+  // The route of that host with the longest prefix that the path begins with; null: none matches.
   const fleet::Route* Match(std::string_view host, std::string_view path) const;
-  // Null: nobody holds the key.
+  // Null: no tenant has the key.
   const fleet::Tenant* TenantOf(std::string_view api_key) const;
   const fleet::Service* ServiceOf(const std::string& name) const;
-  // The service that a request goes to; `draw` is from 0 to below 1.
+  // Picks the service for a request by the weights of the route; `draw` is at least 0 and below 1.
   static const std::string& Split(const fleet::Route& route, double draw);
 
   bool has_tenants() const { return !configuration_.tenants.empty(); }
@@ -32,7 +32,7 @@
 
  private:
   const fleet::Configuration configuration_;
-  // By host, then the prefix, longest look-up first by cutting the path at its slashes.
+  // By host, then by prefix. The longest match is found by cutting the path at its slashes from the end.
   std::unordered_map<std::string, std::unordered_map<std::string, const fleet::Route*>> routes_;
   std::unordered_map<std::string, const fleet::Tenant*> tenants_;  // by key
   std::unordered_map<std::string, const fleet::Service*> services_;
--- a/src/router/router_metrics.h
+++ b/src/router/router_metrics.h
@@ -1,5 +1,5 @@
-// Counts of a router's life, for whoever watches it: `GET /metrics` on the readiness address, in Prometheus'
-// text format. Counters only rise, and begin at 0 with each start.
+// Counters of a router process for monitoring: `GET /metrics` on the readiness address, in Prometheus' text
+// format. Counters only rise, and begin at 0 with each start.
 #ifndef BITTERNMUX_SRC_ROUTER_ROUTER_METRICS_H_
 #define BITTERNMUX_SRC_ROUTER_ROUTER_METRICS_H_
 
@@ -16,13 +16,13 @@
  public:
   void Ended(EndReason reason) { ++ended_[static_cast<std::size_t>(reason)]; }
   void Late() { ++late_; }
-  // An attempt has ended inside an event, of which so many bytes had come.
+  // An attempt ended inside an event, of which `bytes` had arrived.
   void AttemptTorn(std::size_t bytes);
-  // A stream goes on at another server, behind the last event that its client has.
+  // A stream continues at another server, after the last event that its client has.
   void StreamResumed() { ++streams_resumed_; }
-  // A server that was to continue a stream sent what its client has.
+  // A server that was to continue a stream sent events that its client already has.
   void StreamNotContinued() { ++streams_not_continued_; }
-  // The time to a first event as it was expected when the server was chosen, and as it came; milliseconds.
+  // Expected (when the server was chosen) and observed time to a first event, in milliseconds.
   void FirstEvent(double expected_ms, double came_ms);
 
   std::uint64_t streams_not_continued() const { return streams_not_continued_; }
@@ -31,7 +31,7 @@
 
  private:
   std::array<std::uint64_t, kEndReasons> ended_{};
-  std::uint64_t late_ = 0;  // served, with a first event later than the route's aim
+  std::uint64_t late_ = 0;  // served, but the first event came later than the route's target latency
   std::uint64_t attempts_torn_ = 0, torn_bytes_ = 0, streams_resumed_ = 0, streams_not_continued_ = 0;
   std::uint64_t first_events_ = 0;
   double expected_ms_ = 0, came_ms_ = 0, error_ms_ = 0;  // sums
--- a/src/router/server_choice.cpp
+++ b/src/router/server_choice.cpp
@@ -9,22 +9,22 @@
 namespace bitternmux::router {
 namespace {
 
-constexpr double kOtherZoneMs = 6;  // what another zone counts for: its way and its price
-// What reading a prompt costs those beside it: its time, for each of them, counts by so much.
+constexpr double kOtherZoneMs = 6;  // covers the latency and the price of cross-zone traffic
+// Prefilling a prompt delays the other requests on that server: the prefill time counts by this weight for
+// each of them.
 constexpr double kBesideShare = 0.02;
 constexpr double kReadAgainShare = 2.0;
-// Time within this share of the aim costs little, and counts by as much; what is read again has its price in
-// any case.
+// Time within kEasyShare of the target latency counts only by kEasySlope. Prefill costs are never reduced.
 constexpr double kEasyShare = 0.6, kEasySlope = 0.15;
-constexpr double kWaitingRequests = 10;  // in work, that one counts for which waits for a place
-constexpr double kReportLifeMs = 4000;   // over which the others' share of a report fades
-constexpr double kFleetLoadMs = 1600;    // for which what was told of the fleet counts
+constexpr double kWaitingRequests = 10;  // running requests that a request waiting for a slot counts as
+constexpr double kReportLifeMs = 4000;   // decay time of the others' share of a report
+constexpr double kFleetLoadMs = 1600;    // received fleet loads are used up to this age
 constexpr double kAsideFirstMs = 400, kAsideMostMs = 8000;
-constexpr int kOthersToBelieve = 2;      // that have set a server aside
-constexpr double kOwnAnswerMs = 1000;    // for which an answer of its own goes before these
-constexpr double kMisdirectedMs = 5000;  // another server has its address: the list will say so soon
-constexpr double kBusyShare = 1.25;      // of a server's slots, from which on it is busy
-constexpr double kLeastColdMs = 250;     // that a server which is listed as cold stays so
+constexpr int kOthersToBelieve = 2;      // other routers that must have set a server aside
+constexpr double kOwnAnswerMs = 1000;    // for which an own answer takes precedence over those routers
+constexpr double kMisdirectedMs = 5000;  // another server has its address; the list will soon show it
+constexpr double kBusyShare = 1.25;      // share of a server's slots from which on it counts as busy
+constexpr double kLeastColdMs = 250;     // least remaining time assumed for a server listed as cold
 
 }  // namespace
 
@@ -69,8 +69,9 @@
   return {&load, age_ms, load.requests.After(age_ms), load.prefill_tokens.After(age_ms)};
 }
 
-// Of the server's own report and the fleet's sums the fresher one counts, as far as it lasts. Where the fleet
-// is not seen, the report fades to the mean: a server that nothing is sent to brings no newer one.
+// Uses the fresher of the server's own report and the fleet's sums, weighted by its persistence. If no
+// fleet load is available, the report decays to the mean, because a server that gets no requests sends no
+// newer report.
 double ServerChoice::Queue(const Server& server, const LoadSight& sight, double unreported, double now_ms) {
   const double report_age_ms = now_ms - server.reported_ms;
   const bool has_reported = server.others >= 0;
@@ -85,35 +86,35 @@
   return mean + kept * (others - mean) + server.own;
 }
 
-// By this router's own failures there, or by those of several others: one alone may only have a bad link, and
-// an answer that this router had a moment ago says more.
+// A server is set aside after this router's own failures there, or if several other routers have set it
+// aside: a single router may only have a bad link. A recent answer to this router takes precedence.
 bool ServerChoice::IsAside(const Server& server, double now_ms) const {
   if (now_ms < server.aside_until_ms || !reach_.MayTry(now_ms, server.entry.zone)) return true;
   if (!SeesFleet(now_ms) || now_ms - server.answered_ms < kOwnAnswerMs) return false;
   return server.in_fleet.set_aside - server.told.set_aside >= kOthersToBelieve;
 }
 
-// A cold server that gets nothing.
+// Whether this is a cold server that gets no requests.
 bool ServerChoice::IsProtected(const Server& server) const {
   return server.entry.cold && cold_ms_by_service_.contains(server.entry.service);
 }
 
-// How long a protected server may still be cold: the list tells that it is, not for how long.
+// How long a protected server may still be cold. The list only tells that it is cold, not for how long.
 double ServerChoice::WarmInMs(const Server& server, double now_ms) const {
   const double cold_ms = cold_ms_by_service_.at(server.entry.service);
   return std::max(kLeastColdMs, server.cold_since_ms + cold_ms - now_ms);
 }
 
-// Tokens to be read for requests that were sent there and have not begun.
+// Tokens to be prefilled for requests that were sent there and have not begun.
 double ServerChoice::PrefillAhead(const Server& server, const LoadSight& sight) {
   if (sight.load == nullptr) return server.prefill_tokens;
   const double mean = sight.load->mean_prefill_tokens;
   return mean + sight.prefill_kept * (OthersPrefill(server) - mean) + server.prefill_tokens;
 }
 
-// Of the leading parts of the prompt, the tokens that the server is believed to keep. The last part is the
-// request's own and is passed over; the one before it is its session's, and the session's home keeps all up
-// to there.
+// Tokens of the prompt's leading parts that the server is believed to have cached. The last part belongs to
+// this request alone and is not counted. The part before it is the session's; the session's home server
+// caches everything up to and including it.
 double ServerChoice::SavedTokens(const Server& server, const std::string& home, const Prompt& prompt,
                                  double now_ms) const {
   double saved = 0, tokens = 0;
@@ -127,7 +128,7 @@
   return saved;
 }
 
-// The server that all routers take for the home of the prompt's session; empty: it has none.
+// The home server of the prompt's session, on which all routers agree; empty if there is no session.
 std::string ServerChoice::HomeOf(const std::vector<Server*>& of_service, const Prompt& prompt,
                                  double now_ms) const {
   if (prompt.parts.size() < 2) return {};
@@ -145,7 +146,7 @@
   return home;
 }
 
-// Why none of a service's servers was ranked.
+// The reason why none of a service's servers was ranked.
 ServerChoice::Answer ServerChoice::NothingLeft(double now_ms, const std::vector<Server*>& of_service,
                                                bool busy) const {
   if (busy) return {std::nullopt, Nothing::kAllBusy};
@@ -338,7 +339,7 @@
   LearnLoads(interval_ms, earlier);
 }
 
-// Compares what was told now with what was told before.
+// Compares the received loads with those received before.
 void ServerChoice::LearnLoads(double interval_ms,
                               const std::unordered_map<const Server*, fleet::ServerLoad>& earlier) {
   const auto number = [](std::int32_t value) { return static_cast<double>(value); };
--- a/src/router/server_choice.h
+++ b/src/router/server_choice.h
@@ -1,31 +1,32 @@
-// Which server of a service gets a request: a decider, the project's design on the router's ordinary path.
+// Selects the server of a service for each request; pure decision logic without I/O. Implements the design
+// used on the router's ordinary path.
 //
-// After Klein et al., as the system's page gives it: ready servers are ranked by their last reported load,
-// ties in random order; the walk passes over each with probability cN, capped at 1, where N is the estimate
-// of its present queue; a request that is passed over moves on at once; if all are passed over the walk
-// restarts, kRounds times at the most, and then takes the first.
+// This is Stochastic Skip (Klein et al.): ready servers are ranked by their last reported load, with ties
+// in random order. The walk over the ranking passes over each server with probability cN, capped at 1,
+// where N is the estimate of its present queue; a request that is passed over moves on at once. If all
+// servers are passed over, the walk restarts, for at most kRounds rounds, and then takes the first server.
 //
-// The figure is what the server reports to be in work and waiting, at the time of its last answer, less what
-// of it was this router's own then, plus what this router has there now. Where what the other routers have
-// told to have there (fleet/load/load_board.h) is fresher than the report, it takes the report's place.
-// Either counts as far as loads last so long (load_persistence.h), and the service's mean for the rest; where
-// nothing was told, the report fades to the mean of what servers report. A failure leaves the figure
-// unchanged.
+// A server's load figure is the number of running and waiting requests that it reported with its last
+// answer, less this router's own requests there at that time, plus this router's requests there now. If the
+// load published by the other routers (fleet/load/load_board.h) is fresher than the server's report, it
+// replaces the report. Either source is weighted by how long loads persist (load_persistence.h), and the
+// mean of the service makes up the rest; if no published load is available, the report decays to the mean
+// of what servers report. A failure leaves the figure unchanged.
 //
-// For ranking the figure is turned into the time to the first event that answers have shown
-// (first_event_model.h): by the tokens that are to be read before it, this prompt's and those of requests
-// that have not begun, and by the requests in work. Time well within the route's aim counts little. What
-// would have to be read again though another server keeps it (prefix_index.h) counts beside, and so does
-// another zone.
+// For ranking, the figure is converted into an expected time to the first event, as learned from answers
+// (first_event_model.h): it depends on the tokens to be prefilled before that event, which are those of
+// this prompt and of requests that have not begun, and on the number of requests in work. Time well within
+// the route's target latency has little weight. Two costs are added: tokens that have to be prefilled again
+// although another server has them cached (prefix_index.h), and a server in another zone.
 //
-// A cold server whose service bounds what it may get (ProtectCold) gets nothing: routers count apart from one
-// another, so that no share above 0 would keep their sum below the bound.
+// A cold server gets no requests if its service limits the load of cold servers (ProtectCold). Routers
+// count independently of one another, so no share above 0 would keep their sum below the limit.
 //
-// A server that fails is set aside for a time that doubles with each failure and ends with an answer; it is
-// so too while several other routers have set it aside, or while its zone is cut off (zone_reach.h). If all
-// are set aside, none is. A draining one gets nothing new.
+// A server that fails is set aside for a time that doubles with each failure; the next answer ends it. A
+// server is also set aside while several other routers have set it aside, or while its zone is cut off
+// (zone_reach.h). If all servers are set aside, none is treated so. A draining server gets no new requests.
 //
-// Bounds: a row for each server of the list. Not thread-safe. Times are in milliseconds on one clock.
+// Bounds: one row for each listed server. Not thread-safe. Times are in milliseconds on one clock.
 #ifndef BITTERNMUX_SRC_ROUTER_SERVER_CHOICE_H_
 #define BITTERNMUX_SRC_ROUTER_SERVER_CHOICE_H_
 
@@ -48,22 +49,22 @@
 
 namespace bitternmux::router {
 
-// What is free in the design, as the project's defaults.
+// Parameters that the design leaves open, with this project's defaults.
 struct ChoiceOptions {
   double skip_per_request = 0.0015;  // c
-  int rounds = 4;                    // walks before the first is taken unskipped
+  int rounds = 4;                    // walks before the first server is taken without skipping
 };
 
-// What a server tells of its load with an answer.
+// Load that a server reports with an answer.
 struct LoadReport {
   double running = 0, waiting = 0, slots = 0;
 };
 
 struct ServerAsk {
   std::string service;
-  double aim_ms = 0;                  // of its first event
-  const Prompt* prompt = nullptr;     // null: not for a model
-  std::vector<std::string> excluded;  // servers that this request was sent to
+  double aim_ms = 0;                  // target latency of the first event
+  const Prompt* prompt = nullptr;     // null: not a request to a model
+  std::vector<std::string> excluded;  // servers that this request was sent to already
   bool repeatable = false;
 };
 
@@ -73,63 +74,65 @@
  public:
   ServerChoice(ChoiceOptions options, std::string own_zone, std::uint64_t seed);
 
-  // The list has changed.
+  // Applies a changed server list.
   void Update(double now_ms, const fleet::ServerMap& servers);
-  // Services whose cold servers get nothing, with the time that one stays cold after its start.
+  // Services whose cold servers get no requests, with the time that a server stays cold after its start.
   using ColdTimes = std::unordered_map<std::string, double>;
   void ProtectCold(ColdTimes cold_ms_by_service) { cold_ms_by_service_ = std::move(cold_ms_by_service); }
 
   struct Chosen {
     std::string id, address;
-    double uncached_tokens = 0;  // to be prefilled, as far as is known
-    double expected_ms = 0;      // until the first event
-    WorkAhead work;              // that this rests on
-    int weighed = 0;             // servers that were ranked
-    bool zone_cut_off = false;   // a trial: connections of before the cut say nothing
+    double uncached_tokens = 0;  // estimated tokens to be prefilled
+    double expected_ms = 0;      // expected time to the first event
+    WorkAhead work;              // on which the expected time is based
+    int weighed = 0;             // number of servers that were ranked
+    bool zone_cut_off = false;   // a trial: connections from before the cut are no evidence
   };
   enum class Nothing { kNone, kNoServer, kAllBusy, kAllCold };
   struct Answer {
     std::optional<Chosen> chosen;
     Nothing why = Nothing::kNone;
-    double retry_ms = 0;  // of kAllCold: when one of them may be warm
+    double retry_ms = 0;  // for kAllCold: time until one of the servers may be warm
   };
   Answer Choose(double now_ms, const ServerAsk& ask);
 
-  // What becomes of a request that was chosen a server for. Servers that are gone are passed over.
+  // The following report the progress of a request for which a server was chosen. Servers that are no
+  // longer listed are ignored.
   void Sent(double now_ms, const std::string& id, const Chosen& chosen, const Prompt* prompt);
-  // Its first event has come, so long after it was sent.
+  // Its first event has arrived, `came_ms` after the request was sent.
   void Begun(double now_ms, const std::string& id, const Chosen& chosen, double came_ms);
   void Ended(double now_ms, const std::string& id, bool begun, double uncached_tokens, ServerOutcome outcome);
   void Reported(double now_ms, const std::string& id, const LoadReport& report);
-  // Its machine has said nothing through an attempt that began at `since_ms`; the attempt has ended besides.
+  // Its machine did not respond during an attempt that began at `since_ms`. The end of the attempt is
+  // reported separately.
   void Silent(double now_ms, const std::string& id, double since_ms);
 
-  // What this router has in work and has not told yet; all of it if `whole`.
+  // This router's load that has not been published yet; all of it if `whole`.
   fleet::ServerLoads TakeLoads(double now_ms, bool whole);
   bool loads_changed() const { return loads_changed_; }
-  // What the fleet has in work.
+  // Receives the load of the whole fleet.
   void FleetLoads(double now_ms, const fleet::ServerLoads& loads);
 
-  // Is it listed and not draining, at that address?
+  // Whether the server is listed with that address and is not draining.
   bool Serves(const std::string& id, const std::string& address) const;
   std::size_t known() const { return servers_.size(); }
 
  private:
   struct Server {
     fleet::ServerEntry entry;
-    double others = -1;  // of the last report, what was not this router's; below 0: never reported
+    double others = -1;  // load of other routers in the last report; below 0: never reported
     double reported_ms = 0;
     double slots = 0;
     int own = 0;                 // requests of this router there now
-    double prefill_tokens = 0;   // of those of them that have not begun
-    fleet::ServerLoad told;      // of these, as this router told it last
+    double prefill_tokens = 0;   // of those own requests that have not begun
+    fleet::ServerLoad told;      // own load as this router last published it
     fleet::ServerLoad in_fleet;  // sums over all routers
     PaceFactor pace;
     int failures = 0;            // since its last answer
-    double answered_ms = -1e18;  // its last answer
-    double failed_until_ms = 0;  // set aside until then for a failure of its own, and told so
+    double answered_ms = -1e18;  // time of its last answer
+    double failed_until_ms = 0;  // set aside until then after a failure of the server, which is published
     double aside_until_ms = 0;
-    double cold_since_ms = 0;  // when it was first listed as cold, while it is
+    double cold_since_ms = 0;  // when it was first listed as cold; valid while it is cold
   };
   struct Ranked {
     const Server* server;
@@ -137,16 +140,16 @@
     WorkAhead work;
   };
 
-  // Of one service: what its servers have in work for other routers, on the mean, and how long it lasts.
+  // Mean load that other routers have on the servers of one service, and how long such loads persist.
   struct ServiceLoad {
     LoadPersistence requests, prefill_tokens;
     double mean_requests = 0, mean_prefill_tokens = 0;
   };
-  // What is known of that at one moment.
+  // The fleet load available at one moment.
   struct LoadSight {
-    const ServiceLoad* load = nullptr;  // null: nothing that counts was told
+    const ServiceLoad* load = nullptr;  // null: no recent load is available
     double age_ms = 0;
-    double requests_kept = 0, prefill_kept = 0;  // shares that are left of what was told
+    double requests_kept = 0, prefill_kept = 0;  // shares of the received loads that still hold
   };
 
   static double OthersRequests(const Server& server) {
@@ -181,7 +184,7 @@
   ColdTimes cold_ms_by_service_;
   ZoneReach reach_;
   double loads_heard_ms_ = -1e18;
-  double loads_age_ms_ = 0;  // of what was told, when it was heard
+  double loads_age_ms_ = 0;  // age of the received loads at their arrival
   bool loads_changed_ = false;
 };
 
--- a/src/router/shutdown.h
+++ b/src/router/shutdown.h
@@ -1,9 +1,9 @@
-// How a router ends once it is told to stop: a decider.
+// Decides how a router shuts down; pure decision logic without I/O.
 //
 // For a while after SIGTERM new clients still arrive, until the platform has noticed that the router is not
-// ready; they are served as before. From then on a request is only begun if its time ends within the grace
-// period, and late in that period none is. The process ends when the last client has left, at the latest just
-// before its grace is over.
+// ready; they are served as before. From then on a request is only accepted if its deadline is within the
+// grace period, and late in that period none is. The process exits when the last client has left, at the
+// latest just before the grace period is over.
 #ifndef BITTERNMUX_SRC_ROUTER_SHUTDOWN_H_
 #define BITTERNMUX_SRC_ROUTER_SHUTDOWN_H_
 
@@ -14,20 +14,22 @@
 
 class Shutdown {
  public:
-  static constexpr double kNoticedMs = 2600;       // by when the platform sends no more clients here
-  static constexpr double kRefuseBeforeMs = 1500;  // before the end of the grace period nothing is begun
-  static constexpr double kEndBeforeMs = 300;      // before it the process ends
+  static constexpr double kNoticedMs = 2600;  // after this the platform sends no new clients here
+  static constexpr double kRefuseBeforeMs =
+      1500;  // no request is accepted this long before the end of the grace period
+  static constexpr double kEndBeforeMs =
+      300;  // the process exits this long before the end of the grace period
 
   explicit Shutdown(double grace_ms) : grace_ms_(grace_ms) {}
 
-  // Told again it changes nothing.
+  // Starts the shutdown. Further calls have no effect.
   void Begin(double now_ms);
   bool begun() const { return since_ms_.has_value(); }
-  // May any request be begun?
+  // Whether any request may be accepted.
   bool TakesRequests(double now_ms) const;
-  // May one be begun whose answer may take until `until_ms`?
+  // Whether a request may be accepted whose answer may take until `until_ms`.
   bool Admits(double now_ms, double until_ms) const;
-  // Connections of clients that have no request open are to be closed.
+  // Whether client connections without an open request are to be closed.
   bool ClosesIdleConnections(double now_ms) const;
   bool MayEnd(double now_ms, std::size_t open_connections) const;
 
@@ -35,7 +37,7 @@
   double Passed(double now_ms) const { return now_ms - *since_ms_; }
 
   const double grace_ms_;
-  std::optional<double> since_ms_;  // none: it was not told to stop
+  std::optional<double> since_ms_;  // none: no shutdown was requested
 };
 
 }  // namespace bitternmux::router
--- a/src/router/zone_reach.cpp
+++ b/src/router/zone_reach.cpp
@@ -5,7 +5,7 @@
 namespace bitternmux::router {
 namespace {
 
-constexpr std::size_t kServersToBelieve = 2;  // that are silent, before their zone is taken for cut off
+constexpr std::size_t kServersToBelieve = 2;  // unresponsive servers from which on a zone counts as cut off
 constexpr double kFirstPauseMs = 500, kLongestPauseMs = 4000;
 
 }  // namespace
--- a/src/router/zone_reach.h
+++ b/src/router/zone_reach.h
@@ -1,14 +1,17 @@
-// Which zones this router cannot reach, by what becomes of its attempts: a decider.
+// Detects zones that this router cannot reach, from the outcome of its attempts; pure decision logic
+// without I/O.
 //
-// A server that is silent (no connection comes up in time, or nobody acknowledges what was sent) may be down
-// by itself. If several servers of a zone are silent, and no server there has said a word since the first of
-// these attempts began, the zone is cut off: its servers are passed over, but for one attempt at a time,
-// after pauses that double. One word from any server of the zone ends that.
+// A server that does not respond (no connection is established in time, or nothing that was sent is
+// acknowledged) may be down by itself. If several servers of a zone do not respond, and no server of the
+// zone has responded since the first of these attempts began, the zone is cut off. Its servers are then
+// passed over, except for one trial attempt at a time, after pauses that double. A single response from any
+// server of the zone ends this state.
 //
-// Without it each server behind a cut is found out alone, again and again, at a dial timeout a time.
+// Without this, each server behind a cut would be detected separately and repeatedly, at the cost of a dial
+// timeout each time.
 //
-// Bounds: a row for each zone, with its silent servers. Not thread-safe. Times are in milliseconds on one
-// clock.
+// Bounds: one row for each zone, with its unresponsive servers. Not thread-safe. Times are in milliseconds
+// on one clock.
 #ifndef BITTERNMUX_SRC_ROUTER_ZONE_REACH_H_
 #define BITTERNMUX_SRC_ROUTER_ZONE_REACH_H_
 
@@ -20,22 +23,22 @@
 
 class ZoneReach {
  public:
-  // A server of the zone has said something.
+  // A server of the zone has responded.
   void Heard(double now_ms, const std::string& zone);
-  // A server of the zone has been silent through an attempt that began at `since_ms`.
+  // A server of the zone did not respond during an attempt that began at `since_ms`.
   void Silent(double now_ms, const std::string& zone, const std::string& server, double since_ms);
   // An attempt at a server of the zone begins.
   void Sent(double now_ms, const std::string& zone);
 
   bool IsCutOff(const std::string& zone) const;
-  // May an attempt go there: is it reached, or is the next trial due?
+  // Whether an attempt may go there: the zone is reachable, or the next trial is due.
   bool MayTry(double now_ms, const std::string& zone) const;
 
  private:
   struct Zone {
-    double heard_ms = -1e18;       // the last word
-    std::set<std::string> silent;  // servers, since then
-    double pause_ms = 0;           // before the next trial, while it is cut off
+    double heard_ms = -1e18;       // time of the last response
+    std::set<std::string> silent;  // servers that have not responded since then
+    double pause_ms = 0;           // before the next trial, while the zone is cut off
     double trial_due_ms = 0;
   };
   static bool IsCutOff(const Zone& zone);
