--- a/src/router/evacuated_zones.h
+++ b/src/router/evacuated_zones.h
@@ -33,8 +33,8 @@
 
  private:
   std::set<std::string> evacuated_;
-  std::map<std::string, double>
-      returning_;  // zones whose evacuation has ended, and until when they stay excluded
+  // Zones whose evacuation has ended, and until when they stay excluded.
+  std::map<std::string, double> returning_;
 };
 
 }  // namespace bitternmux::router
--- a/src/router/event_stream.h
+++ b/src/router/event_stream.h
@@ -28,8 +28,8 @@
   void EndLine(std::size_t at);
 
   std::string buffer_;
-  std::size_t scanned_ = 0;       // bytes of the rest that were scanned
-  std::size_t complete_end_ = 0;  // end of the last complete event in the rest
+  std::size_t scanned_ = 0;       // bytes of the buffer that were scanned
+  std::size_t complete_end_ = 0;  // end of the last complete event in the buffer
   bool line_has_bytes_ = false;   // the line being scanned
   bool event_has_lines_ = false;
   bool after_cr_ = false;    // the previous byte was a CR; its LF may follow
@@ -41,7 +41,7 @@
  public:
   // A new attempt begins.
   void BeginAttempt() { continuing_ = !last_id_.empty(); }
-  // Accounts for complete events that are about to be forwarded. Returns false, if they do not follow the
+  // Accounts for complete events that are about to be forwarded. Returns false if they do not follow the
   // events that the client has; they must not be forwarded then.
   bool Advance(std::string_view events);
   // Id of the last event that had one; empty: none did.
--- a/src/router/first_event_model.cpp
+++ b/src/router/first_event_model.cpp
@@ -43,8 +43,8 @@
   }
   for (double& moment : moments_) moment *= kRetained;
   const double expected_ms = std::max(Expected(work), 1.0);
-  const double limited_ms =
-      std::min(observed_ms, 4 * expected_ms + 100);  // limits the influence of an answer that hung
+  // Limits the influence of an answer that hung.
+  const double limited_ms = std::min(observed_ms, 4 * expected_ms + 100);
   Add(TermsOf(work), limited_ms, WeightAt(expected_ms));
   Solve();
 }
--- a/src/router/server_choice.cpp
+++ b/src/router/server_choice.cpp
@@ -14,8 +14,7 @@
 // each of them.
 constexpr double kInterferenceWeight = 0.02;
 constexpr double kPrefillWeight = 2.0;
-// Time within kLowCostShare of the target latency counts only by kLowCostSlope. Prefill costs are never
-// reduced.
+// Time within kLowCostShare of the target latency counts only by kLowCostSlope; prefill costs always count.
 constexpr double kLowCostShare = 0.6, kLowCostSlope = 0.15;
 constexpr double kRequestsPerWaiting = 10;   // running requests that a request waiting for a slot counts as
 constexpr double kReportDecayMs = 4000;      // decay time of the others' share of a report
--- a/src/router/shutdown.h
+++ b/src/router/shutdown.h
@@ -15,10 +15,10 @@
 class Shutdown {
  public:
   static constexpr double kPlatformNoticeMs = 2600;  // after this the platform sends no new clients here
-  static constexpr double kRefuseBeforeEndMs =
-      1500;  // no request is accepted this long before the end of the grace period
-  static constexpr double kExitBeforeEndMs =
-      300;  // the process exits this long before the end of the grace period
+  // No request is accepted from this long before the end of the grace period on.
+  static constexpr double kRefuseBeforeEndMs = 1500;
+  // The process exits at the latest this long before the end of the grace period.
+  static constexpr double kExitBeforeEndMs = 300;
 
   explicit Shutdown(double grace_ms) : grace_ms_(grace_ms) {}
 
--- a/src/router/zone_reach.cpp
+++ b/src/router/zone_reach.cpp
@@ -5,8 +5,8 @@
 namespace bitternmux::router {
 namespace {
 
-constexpr std::size_t kMinUnresponsiveServers =
-    2;  // unresponsive servers from which on a zone counts as cut off
+// A zone counts as cut off from this number of unresponsive servers on.
+constexpr std::size_t kMinUnresponsiveServers = 2;
 constexpr double kInitialPauseMs = 500, kMaxPauseMs = 4000;
 
 }  // namespace
--- a/tests/router/evacuated_zones_test.cpp
+++ b/tests/router/evacuated_zones_test.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("evacuated zones: the servers of one are taken as draining, those of others are left as they are") {
+TEST_CASE("evacuated zones: marks their servers as draining, and leaves other servers unchanged") {
   EvacuatedZones zones;
   CHECK_FALSE(zones.Set(0, {}));
   CHECK_FALSE(IsMarkedDraining(zones, "maia"));
@@ -24,7 +24,7 @@
   CHECK(zones.MarkDraining(leaving).at("i").draining);
 }
 
-TEST_CASE("evacuated zones: one that was taken back stays out for a time") {
+TEST_CASE("evacuated zones: a zone stays excluded for a delay after its evacuation has ended") {
   EvacuatedZones zones;
   zones.Set(0, {"maia", "braga"});
   CHECK(zones.Set(1000, {"braga"}));
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE(
-    "evacuated zones: one that is evacuated again while it returns is out until it is taken back again") {
+    "evacuated zones: a zone evacuated again during the delay stays excluded until that evacuation ends") {
   EvacuatedZones zones;
   zones.Set(0, {"maia"});
   zones.Set(1000, {});
--- a/tests/router/event_stream_test.cpp
+++ b/tests/router/event_stream_test.cpp
@@ -6,7 +6,7 @@
 
 namespace bitternmux::router {
 
-TEST_CASE("event cutter: whole events pass, a cut one does not") {
+TEST_CASE("event splitter: returns complete events and holds back an incomplete one") {
   EventSplitter splitter;
   CHECK(splitter.Feed("id: 1\nda").empty());
   CHECK(splitter.incomplete_bytes() == 8);
@@ -16,7 +16,7 @@
   CHECK(splitter.Feed("versions: 4\nid: 3\ndata: z\n\n") == "versions: 4\nid: 3\ndata: z\n\n");
 }
 
-TEST_CASE("stream position: the id of the last event that passed, over all attempts") {
+TEST_CASE("stream position: keeps the id of the last forwarded event, over all attempts") {
   StreamPosition position;
   CHECK(position.last_id().empty());
   position.Advance("id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
@@ -26,8 +26,7 @@
   CHECK(position.CanContinue());
 }
 
-TEST_CASE(
-    "event cutter: an event ends with an empty line, whatever lines end with, at any cut of its bytes") {
+TEST_CASE("event splitter: an empty line ends an event, for any line ending and any split of the bytes") {
   const std::string end = GENERATE("\n", "\r\n", "\r");
   const std::string first = "id: 0" + end + "data: a" + end + end;
   const std::string second = ": nothing" + end + end + "data" + end + end;
@@ -42,7 +41,7 @@
   }
 }
 
-TEST_CASE("event cutter: a byte at a time, an event passes with its last byte") {
+TEST_CASE("event splitter: fed byte by byte, returns an event with its last byte") {
   const std::string end = GENERATE("\n", "\r\n", "\r");
   const std::string event = "id: 0" + end + "data: a" + end + end;
   EventSplitter splitter;
@@ -52,7 +51,7 @@
   }
 }
 
-TEST_CASE("event cutter: empty lines in front of an event are no event") {
+TEST_CASE("event splitter: empty lines before an event are not an event") {
   EventSplitter splitter;
   CHECK(splitter.Feed("\n\r\n").empty());
   CHECK(splitter.incomplete_bytes() == 0);
@@ -61,74 +60,74 @@
   CHECK(splitter.TakeRemainder() == "\n");
 }
 
-TEST_CASE("stream position: ids as the format has them") {
+TEST_CASE("stream position: parses ids as the format defines them") {
   StreamPosition position;
-  SECTION("without the space behind the colon") {
+  SECTION("without a space after the colon") {
     CHECK(position.Advance("id:7\ndata: x\n\n"));
     CHECK(position.last_id() == "7");
   }
-  SECTION("with other line ends") {
+  SECTION("with other line endings") {
     CHECK(position.Advance("id: 7\r\ndata: x\r\n\r\nid: 8\rdata: y\r\r"));
     CHECK(position.last_id() == "8");
   }
-  SECTION("one with a NUL counts for nothing") {
+  SECTION("an id with a NUL is ignored") {
     CHECK(position.Advance(std::string_view("id: 7\ndata: x\n\nid: 8\0\n\n", 23)));
     CHECK(position.last_id() == "7");
   }
-  SECTION("a field that only begins so is another one") {
+  SECTION("a field name that only starts with 'id' is not an id") {
     CHECK(position.Advance("id: 7\nidea: 8\ndata: x\n\n"));
     CHECK(position.last_id() == "7");
   }
-  SECTION("in the data it is none") {
+  SECTION("an id in the data is not an id") {
     CHECK(position.Advance("id: 7\ndata: id: 9\n\n"));
     CHECK(position.last_id() == "7");
   }
 }
 
-TEST_CASE("stream position: where another server can go on") {
+TEST_CASE("stream position: when another server can continue") {
   StreamPosition position;
   CHECK(position.CanContinue());  // from the start
-  SECTION("behind a comment: from the start") {
+  SECTION("after a comment: from the start") {
     position.Advance(": nothing\n\n");
     CHECK(position.CanContinue());
   }
-  SECTION("not behind data without any id") {
+  SECTION("not after data without any id") {
     position.Advance("data: x\n\n");
     CHECK_FALSE(position.CanContinue());
   }
-  SECTION("not behind data without an id of its own, until the next id") {
+  SECTION("not after data without its own id, until the next id") {
     position.Advance("id: 1\ndata: x\n\ndata: y\n\n");
     CHECK_FALSE(position.CanContinue());
     position.Advance("id: 2\ndata: z\n\n");
     CHECK(position.CanContinue());
   }
-  SECTION("behind a comment that follows an id") {
+  SECTION("after a comment that follows an id") {
     position.Advance("id: 1\ndata: x\n\n: nothing\n\n");
     CHECK(position.CanContinue());
   }
-  SECTION("not behind an id that was taken back") {
+  SECTION("not after an id that was reset") {
     position.Advance("id: 1\ndata: x\n\nid\ndata: y\n\n");
     CHECK_FALSE(position.CanContinue());
   }
 }
 
-TEST_CASE("stream position: an attempt that goes on begins behind the last id") {
+TEST_CASE("stream position: a continuing attempt has to start after the last id") {
   StreamPosition position;
   position.BeginAttempt();
   REQUIRE(position.Advance("id: 8\ndata: x\n\nid: 9\ndata: x\n\n"));
   position.BeginAttempt();
-  SECTION("the next one, and any later one") {
+  SECTION("the next id, and any later one") {
     CHECK(position.Advance(GENERATE("id: 10\ndata: x\n\n", "id: 12\ndata: x\n\n")));
   }
-  SECTION("behind a comment too") {
+  SECTION("after a comment too") {
     CHECK(position.Advance(": nothing\n\n"));
     CHECK_FALSE(position.Advance("id: 9\ndata: x\n\n"));
   }
-  SECTION("not the same again, nor an earlier one; nothing of it counts") {
+  SECTION("neither the same id nor an earlier one; its events are not counted") {
     CHECK_FALSE(position.Advance(GENERATE("id: 9\ndata: x\n\n", "id: 0\ndata: x\n\nid: 11\ndata: x\n\n")));
     CHECK(position.last_id() == "9");
   }
-  SECTION("ids that are no numbers cannot be compared") { CHECK(position.Advance("id: b\ndata: x\n\n")); }
+  SECTION("ids that are not numbers cannot be compared") { CHECK(position.Advance("id: b\ndata: x\n\n")); }
 }
 
 }  // namespace bitternmux::router
--- a/tests/router/first_event_model_test.cpp
+++ b/tests/router/first_event_model_test.cpp
@@ -1,4 +1,4 @@
-// Engines of several speeds in simulated time, and what the model makes of their answers.
+// Tests the model with simulated engines of several speeds.
 #include "router/first_event_model.h"
 
 #include <catch2/catch.hpp>
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("first event model: learns a service three times as slow or fast as the start, from its answers") {
+TEST_CASE("first event model: learns a service three times as slow or as fast as the prior") {
   const double factor = GENERATE(1.0 / 3, 1.0, 3.0);
   const Engine engine = Times(factor);
   std::mt19937 random(5);
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("first event model: is learned anew where a service changes speed, and one hang moves it little") {
+TEST_CASE("first event model: follows a change of speed; a single hang has little influence") {
   std::mt19937 random(6);
   FirstEventModel model;
   const WorkAhead probe = {3000, 5};
@@ -64,7 +64,7 @@
   CHECK(model.Expected(probe) == Approx(Times(3).First(probe)).epsilon(0.2));
 }
 
-TEST_CASE("first event model: answers of one kind only keep its coefficients sane") {
+TEST_CASE("first event model: coefficients stay valid when all answers are alike") {
   FirstEventModel model;
   for (int i = 0; i < 2000; ++i) model.Learn({0, 0}, 60);
   CHECK(model.Expected({0, 0}) == Approx(60).epsilon(0.2));
@@ -72,10 +72,10 @@
   CHECK(model.MsPerRequest() >= 0);
 }
 
-TEST_CASE("pace factor: a slow server is known by its own answers, and forgotten when it is not heard of") {
+TEST_CASE("pace factor: a slow server is detected by its answers; without answers the factor decays to 1") {
   PaceFactor pace;
   CHECK(pace.At(0) == 1);
-  pace.Learn(0, 100, 700);  // one odd answer is not enough
+  pace.Learn(0, 100, 700);  // one outlier is not enough
   CHECK(pace.At(0) < 1.5);
   for (int i = 1; i <= 100; ++i) pace.Learn(100.0 * i, 100, 300);
   CHECK(pace.At(10'000) > 2);
@@ -83,9 +83,9 @@
   CHECK(PaceFactor().At(0) == 1);
 }
 
-// A router alone before three servers, of which one is a third as fast and one three times as fast. The fast
-// one turns slow in the middle of the day.
-TEST_CASE("server choice: plays engines of three speeds, one of which changes within the day") {
+// A single router with three servers, one a third as fast and one three times as fast as usual. The fast
+// one becomes slow in the middle of the run.
+TEST_CASE("server choice: prefers the fastest of three engines, and follows a change of speed") {
   constexpr double kDayMs = 120'000, kEveryMs = 60, kHalfMs = kDayMs / 2;
   std::map<std::string, double> factors = {{"i0", 1.0}, {"i1", 3.0}, {"i2", 1.0 / 3}};
   fleet::ServerMap servers;
@@ -93,7 +93,7 @@
   ServerChoice choice({0.0015, 4}, "z", 4);
   choice.Update(0, servers);
   Prompt prompt;
-  prompt.tokens_in = 1000;  // of its own: nothing is kept
+  prompt.tokens_in = 1000;  // unique to the request: nothing is cached
   ServerQuery query;
   query.service = "s";
   query.prompt = &prompt;
--- a/tests/router/load_persistence_test.cpp
+++ b/tests/router/load_persistence_test.cpp
@@ -9,7 +9,8 @@
 
 constexpr int kServers = 60;
 
-// Loads of which a share is left after one word and the rest is drawn anew, told that often.
+// The persistence learned from loads of which `left_after_interval` remains after each update and the rest
+// is drawn anew.
 LoadPersistence Learned(double interval_ms, double left_after_interval, unsigned seed) {
   std::mt19937 random(seed);
   std::normal_distribution<double> draw(0, 1);
@@ -31,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("load persistence: learned from words that follow each other, at any distance of theirs") {
+TEST_CASE("load persistence: learned from successive updates, at any interval") {
   for (const double interval_ms : {50.0, 200.0, 460.0}) {
     for (const double left : {0.9, 0.6, 0.2}) {
       const LoadPersistence persistence = Learned(interval_ms, left, 7);
@@ -43,12 +44,12 @@
   }
 }
 
-TEST_CASE("load persistence: what is drawn anew each time says nothing, what never changes all") {
+TEST_CASE("load persistence: near 0 for independent loads, near 1 for constant loads") {
   CHECK(Learned(460, 0, 3).After(460) < 0.1);
   CHECK(Learned(50, 1, 3).After(5000) == Approx(1).margin(0.01));
 }
 
-TEST_CASE("load persistence: before anything was learned it fades; words far apart teach nothing") {
+TEST_CASE("load persistence: decays before anything was learned; ignores updates far apart") {
   LoadPersistence persistence;
   const double before = persistence.After(300);
   CHECK(before > 0.2);
@@ -58,7 +59,7 @@
   CHECK(persistence.After(300) == before);
 }
 
-TEST_CASE("load persistence: between 0 and 1 whatever was told") {
+TEST_CASE("load persistence: between 0 and 1 for any input") {
   LoadPersistence persistence;
   for (int update = 0; update < 50; ++update) persistence.Learn(50, {{1, 90}, {90, 1}, {1, 80}});
   CHECK(persistence.After(100) == 0);
--- a/tests/router/prompt_test.cpp
+++ b/tests/router/prompt_test.cpp
@@ -6,7 +6,7 @@
 
 namespace bitternmux::router {
 
-TEST_CASE("prompt: counts and parts, a part stands for all before it") {
+TEST_CASE("prompt: parses counts and parts; a part identifies all parts before it") {
   const auto count = ReadTokenCount("1460, 80");
   REQUIRE(count);
   CHECK(count->tokens_in == 1460);
@@ -26,7 +26,7 @@
   CHECK(ReadPromptPrefix(many).size() == kMaxPromptParts);
 }
 
-TEST_CASE("prefix index: what was sent is believed to be kept for a while, within a bound") {
+TEST_CASE("prefix index: assumes for a limited time and number of parts that what was sent is cached") {
   PrefixIndex index;
   Prompt prompt;
   prompt.parts = {{1, 10}, {2, 10}};
--- a/tests/router/retry_budget_test.cpp
+++ b/tests/router/retry_budget_test.cpp
@@ -7,7 +7,7 @@
 
 namespace bitternmux::router {
 
-TEST_CASE("retry budget: over all routers no window holds more repeats than are allowed") {
+TEST_CASE("retry budget: all routers together never exceed the allowed retries in any window") {
   constexpr double kRatio = 0.2, kSlack = 52, kWindowMs = 10'000;
   for (std::uint32_t seed = 1; seed <= 10; ++seed) {
     std::mt19937 random(seed);
@@ -37,7 +37,7 @@
   }
 }
 
-TEST_CASE("retry budget: services have budgets of their own") {
+TEST_CASE("retry budget: each service has its own budget") {
   RetryBudget budget({0.2, 4, 1000}, 0);
   int first = 0;
   while (budget.Spend(1000, "a")) ++first;
@@ -45,7 +45,7 @@
   CHECK(budget.Spend(1000, "b"));
 }
 
-TEST_CASE("retry budget: routers that start again and again spend no more than one window allows") {
+TEST_CASE("retry budget: routers that restart repeatedly spend no more than one window allows") {
   constexpr double kSlack = 52, kWindowMs = 10'000;
   constexpr std::size_t kRouters = 6;
   for (const double life_ms : {300.0, 1000.0, 4000.0, 9000.0}) {
--- a/tests/router/route_table_test.cpp
+++ b/tests/router/route_table_test.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("route table: host and longest prefix pick the route") {
+TEST_CASE("route table: matches the host and the longest prefix") {
   const RouteTable table(SampleConfiguration());
   CHECK(NameOf(table.Match("a.example", "/x/1")) == "short");
   CHECK(NameOf(table.Match("a.example", "/x/y/1?q=/z/")) == "long");
@@ -41,7 +41,7 @@
   CHECK(table.Match("d.example", "/x/1") == nullptr);
 }
 
-TEST_CASE("route table: keys and services") {
+TEST_CASE("route table: looks up tenants by key, and services by name") {
   const RouteTable table(SampleConfiguration());
   CHECK(table.TenantOf("k2")->name == "t1");
   CHECK(table.TenantOf("k9") == nullptr);
@@ -49,7 +49,7 @@
   CHECK(table.ServiceOf("s9") == nullptr);
 }
 
-TEST_CASE("route table: a split is by weight, and never to a part without") {
+TEST_CASE("route table: picks services by weight, never one with weight 0") {
   const RouteTable table(SampleConfiguration());
   fleet::Route route = *table.Match("a.example", "/x/");
   CHECK(RouteTable::PickService(route, 0.0) == "s1");
--- a/tests/router/router_metrics_test.cpp
+++ b/tests/router/router_metrics_test.cpp
@@ -6,7 +6,7 @@
 
 namespace bitternmux::router {
 
-TEST_CASE("router metrics: each reason has a name of its own and a counter") {
+TEST_CASE("router metrics: each end reason has its own name and counter") {
   std::set<std::string_view> names;
   for (std::size_t reason = 0; reason < kEndReasons; ++reason)
     names.insert(NameOf(static_cast<EndReason>(reason)));
@@ -24,7 +24,7 @@
   CHECK(text.find("bitternmux_surplus_answers_total 5\n") != std::string::npos);
 }
 
-TEST_CASE("router metrics: first events as expected and as they came") {
+TEST_CASE("router metrics: expected and observed times to first events") {
   RouterMetrics metrics;
   metrics.FirstEvent(100, 130);
   metrics.FirstEvent(100, 80);
@@ -37,7 +37,7 @@
   CHECK(text.find("bitternmux_requests_late_total 1\n") != std::string::npos);
 }
 
-TEST_CASE("router metrics: attempts that ended inside an event, and streams that went on elsewhere") {
+TEST_CASE("router metrics: attempts that ended inside an event, and streams that were continued") {
   RouterMetrics metrics;
   metrics.CountTornAttempt(13);
   metrics.CountTornAttempt(4);
--- a/tests/router/server_choice_test.cpp
+++ b/tests/router/server_choice_test.cpp
@@ -34,8 +34,8 @@
   return counts;
 }
 
-// Requests of one router while all zones but its own are behind a cut: an attempt there ends after a dial's
-// time without a connection, and the request goes on elsewhere.
+// Requests of one router while all zones but its own are cut off: an attempt there ends without a
+// connection after the dial timeout, and the request is sent elsewhere.
 class CutPlay {
  public:
   CutPlay() {
@@ -65,7 +65,7 @@
  private:
   static constexpr int kServersOfZone = 15, kMostSends = 4;
   static constexpr double kLoad = 30,
-                          kOldLoad = 10;  // of those that are reached; of the others, before the cut
+                          kOldLoad = 10;  // load of reachable servers; of the others, before the cut
   static constexpr double kBetweenMs = 150, kDialMs = 700, kAnswerMs = 50;
 
   void Send(double now_ms, int sends) {
@@ -100,7 +100,7 @@
 
 }  // namespace
 
-TEST_CASE("server choice: by last reported load, ties at random") {
+TEST_CASE("server choice: ranks by last reported load, with ties in random order") {
   ServerChoice choice({0, 4}, "z", 1);
   choice.Update(0, Servers(4));
   for (int i = 0; i < 4; ++i)
@@ -111,17 +111,17 @@
   CHECK(counts.at("i1") > 400);
 }
 
-TEST_CASE("server choice: passes over with probability cN, moves on at once, restarts and ends") {
+TEST_CASE("server choice: passes over with probability cN, restarts, and takes the first in the end") {
   constexpr double kC = 0.02;
   ServerChoice choice({kC, 4}, "z", 2);
   choice.Update(0, Servers(2));
   choice.OnLoadReport(1, "i0", {10, 0, 64});
   choice.OnLoadReport(1, "i1", {20, 0, 64});
   const auto counts = Count(choice, 1, 20'000, TestQuery());
-  // First walk: 0.8 keep the first, 0.2 * 0.6 the second; the rest begins again.
+  // In each walk 0.8 take the first and 0.2 * 0.6 the second; the rest restarts.
   const double first = 0.8 / (0.8 + 0.2 * 0.6);
   CHECK(counts.at("i0") / 20'000.0 == Approx(first).margin(0.015));
-  // Capped at 1: all are passed over in each round, and the first is taken in the end.
+  // With the probability capped at 1, all are passed over in each round, and the first is taken.
   ServerChoice full({10, 4}, "z", 3);
   full.Update(0, Servers(2));
   full.OnLoadReport(1, "i0", {10, 0, 64});
@@ -129,7 +129,7 @@
   CHECK(Count(full, 1, 100, TestQuery()).at("i0") == 100);
 }
 
-TEST_CASE("server choice: what this router has sent counts, and a failure leaves the figure as it was") {
+TEST_CASE("server choice: counts this router's own requests; a failure leaves the load figure unchanged") {
   ServerChoice choice({0, 4}, "z", 4);
   choice.Update(0, Servers(2));
   choice.OnLoadReport(1, "i0", {5, 0, 64});
@@ -144,7 +144,7 @@
   CHECK(choice.Choose(1, TestQuery()).chosen->id == "i0");
 }
 
-TEST_CASE("server choice: draining, excluded, failing and unknown ones") {
+TEST_CASE("server choice: draining, excluded, failing and unknown servers") {
   ServerChoice choice({0, 4}, "z", 5);
   fleet::ServerMap servers = Servers(3);
   servers["i0"].draining = true;
@@ -157,15 +157,15 @@
   CHECK_FALSE(choice.Serves("i1", "10.0.0.9:80"));
   choice.OnEnded(1, "i2", false, 0, ServerOutcome::kFailed);
   CHECK(Count(choice, 2, 50, TestQuery()).at("i1") == 50);
-  // If all are set aside, none is.
+  // If all are set aside, none is treated so.
   choice.OnEnded(2, "i1", false, 0, ServerOutcome::kFailed);
   CHECK(choice.Choose(3, TestQuery()).chosen);
   query.service = "nobody";
   CHECK(choice.Choose(3, query).no_choice_reason == ServerChoice::NoChoiceReason::kNoServer);
 }
 
-// FAILBACK: routers that each sent a cold server a little sent it too much together.
-TEST_CASE("server choice: a cold server gets nothing where its service bounds that") {
+// FAILBACK: routers that each sent a cold server a little load overloaded it together.
+TEST_CASE("server choice: a cold server gets no requests if its service limits its load") {
   ServerChoice choice({0, 4}, "z", 9);
   fleet::ServerMap servers = Servers(3);
   servers["i0"].cold = true;
@@ -175,7 +175,7 @@
   CHECK(Count(choice, 1, 300, TestQuery()).size() == 3);
   choice.ProtectCold({{"s", 3000}});
   CHECK_FALSE(Count(choice, 1, 300, TestQuery()).contains("i0"));
-  // Not even where all others are set aside.
+  // Not even if all others are set aside.
   for (const char* id : {"i1", "i2"}) choice.OnEnded(1, id, false, 0, ServerOutcome::kFailed);
   CHECK_FALSE(Count(choice, 2, 300, TestQuery()).contains("i0"));
   CHECK(choice.Serves("i0", "10.0.0.0:80"));
@@ -184,7 +184,7 @@
   CHECK(Count(choice, 4, 300, TestQuery()).at("i0") == 300);
 }
 
-TEST_CASE("server choice: where only cold servers are left, none is chosen until one may be warm") {
+TEST_CASE("server choice: if only cold servers are left, none is chosen until one may be warm") {
   ServerChoice choice({0, 4}, "z", 10);
   choice.ProtectCold({{"s", 3000}});
   fleet::ServerMap servers = Servers(3);
@@ -206,8 +206,8 @@
   CHECK(choice.Choose(2000, TestQuery()).no_choice_reason == ServerChoice::NoChoiceReason::kAllBusy);
 }
 
-// With no bound a list that tells of cold servers changes no choice.
-TEST_CASE("server choice: an unprotected cold server is ranked as any other") {
+// Without a limit for cold servers, cold entries in the list do not change any choice.
+TEST_CASE("server choice: an unprotected cold server is ranked like any other") {
   ServerChoice warm({0.02, 4}, "z", 11), cold({0.02, 4}, "z", 11);
   fleet::ServerMap servers = Servers(5);
   warm.Update(0, servers);
@@ -217,16 +217,16 @@
     CHECK(warm.Choose(1, TestQuery()).chosen->id == cold.Choose(1, TestQuery()).chosen->id);
 }
 
-// On the side that was cut off a router found out each server behind the cut alone, again and again, while
-// its requests waited for dials.
-TEST_CASE("server choice: behind a cut requests stay with the servers that are reached") {
+// A router that was cut off detected each server behind the cut separately and repeatedly, while its
+// requests waited for dial timeouts.
+TEST_CASE("server choice: during a cut requests go to reachable servers") {
   CutPlay play;
   play.Run(20'000);
   CHECK(play.served == play.requests);
   CHECK(play.dials_into_the_cut < play.requests / 2);
 }
 
-TEST_CASE("server choice: one word from a zone that was cut off brings all its servers back") {
+TEST_CASE("server choice: one response from a zone that was cut off makes all its servers available") {
   ServerChoice choice({0, 4}, "z", 13);
   fleet::ServerMap servers = Servers(4, "far");
   servers["near"] = {"near", "s", "10.0.1.1:80", "z", 64, false};
@@ -244,7 +244,7 @@
   CHECK_FALSE(Count(choice, 1311, 50, TestQuery()).contains("near"));
 }
 
-TEST_CASE("server choice: all busy is told, and is no choice") {
+TEST_CASE("server choice: reports that all servers are busy, and chooses none") {
   ServerChoice choice({0, 4}, "z", 6);
   choice.Update(0, Servers(2));
   for (const char* id : {"i0", "i1"}) choice.OnLoadReport(1, id, {64, 30, 64});
@@ -253,8 +253,7 @@
   CHECK(answer.no_choice_reason == ServerChoice::NoChoiceReason::kAllBusy);
 }
 
-TEST_CASE(
-    "server choice: routers agree on a session's home without asking, and leave it when it is crowded") {
+TEST_CASE("server choice: routers agree on a session's home server, and avoid it when it is overloaded") {
   Prompt prompt;
   prompt.tokens_in = 9000;
   prompt.parts = ReadPromptPrefix("aa:2500,bb:3800,cc:2700");
@@ -275,7 +274,7 @@
       CHECK(chosen->uncached_tokens == 2700);
     }
     for (int i = 0; i < 12; ++i) choice.OnLoadReport(2, "i" + std::to_string(i), {0, 0, 64});
-    // By requests that wait for a place, or by prompts of other routers that are still to be read there.
+    // Overloaded by requests that wait for a slot, or by prompts of other routers still to be prefilled.
     if (seed % 2 == 0) {
       choice.OnLoadReport(2, home, {64, 12, 64});
     } else {
@@ -286,7 +285,7 @@
 }
 
 TEST_CASE(
-    "server choice: where little time is at stake a home is kept at a load that it is left at elsewhere") {
+    "server choice: with a target latency, the home is kept at a load at which it is avoided without one") {
   Prompt prompt;
   prompt.tokens_in = 4300;
   prompt.parts = ReadPromptPrefix("aa:500,bb:1000,cc:2800");
@@ -306,7 +305,7 @@
   CHECK(choice.Choose(2, query).chosen->id != home);
 }
 
-TEST_CASE("server choice: a server that did not report counts as the mean; old reports fade to it") {
+TEST_CASE("server choice: a server without a report counts as the mean; old reports decay to the mean") {
   ServerChoice choice({0, 4}, "z", 7);
   choice.Update(0, Servers(3));
   choice.OnLoadReport(1, "i0", {2, 0, 64});
@@ -319,12 +318,12 @@
   CHECK(later.size() == 3);
 }
 
-TEST_CASE("server choice: what other routers have in work counts, and what is one's own counts once") {
+TEST_CASE("server choice: counts the load of other routers, and its own load only once") {
   ServerChoice choice({0, 4}, "z", 9);
   choice.Update(0, Servers(2));
   choice.OnFleetLoads(1, {true, {{fleet::LoadKey("i0"), 5, 0, 0}, {fleet::LoadKey("i1"), 3, 0, 0}}});
   CHECK(choice.Choose(1, TestQuery()).chosen->id == "i1");
-  // Two of the three at i1 turn out to be this router's own.
+  // Two of the three at i1 are this router's own.
   const auto chosen = choice.Choose(1, TestQuery()).chosen;
   REQUIRE(chosen);
   for (int i = 0; i < 2; ++i) choice.OnSent(1, "i1", *chosen, nullptr);
@@ -333,14 +332,13 @@
   CHECK(told.rows[0] == fleet::ServerLoad{fleet::LoadKey("i1"), 2, 0, 0});
   CHECK(choice.TakeLoadUpdate(1, false).rows.empty());
   CHECK(choice.TakeLoadUpdate(1, true).rows.size() == 1);
-  CHECK(choice.Choose(1, TestQuery()).chosen->id == "i1");  // 3 of the fleet against 5
-  // Once it is old the view does not count any more: both are as good as unknown but for its own two.
+  CHECK(choice.Choose(1, TestQuery()).chosen->id == "i1");  // 3 requests of the fleet against 5
+  // Old fleet loads are ignored: both servers then count as unknown, except for the two own requests.
   CHECK(choice.Choose(60'000, TestQuery()).chosen->id == "i0");
 }
 
-// Routers of a large fleet hear of its load late; a prompt that was to be read then has long been read.
-TEST_CASE(
-    "server choice: a sum that is old, of loads that change faster than it is told, moves nobody from home") {
+// Routers of a large fleet receive its load late, when the prompts that it counts have long been prefilled.
+TEST_CASE("server choice: an old sum of fast-changing loads does not move requests from their home") {
   Prompt prompt;
   prompt.tokens_in = 9000;
   prompt.parts = ReadPromptPrefix("aa:2500,bb:3800,cc:2700");
@@ -355,7 +353,7 @@
       choice.OnFleetLoads(now_ms,
                           {true, {{fleet::LoadKey(crowded), 6, 60'000, 0}}, static_cast<float>(age_ms)});
     };
-    // The crowd moves on from word to word, or stays.
+    // The overloaded server changes with each update, or stays the same.
     for (int update = 0; update < 60; ++update) {
       tell(10 + 460 * update, changes ? "i" + std::to_string(update % 12) : home);
     }
@@ -367,7 +365,7 @@
   CHECK(leaves_home(0, /*changes=*/true));
 }
 
-TEST_CASE("server choice: of a report and the fleet's sums the fresher one counts") {
+TEST_CASE("server choice: uses the fresher one of a report and the fleet's sums") {
   ServerChoice choice({0, 4}, "z", 11);
   choice.Update(0, Servers(2));
   choice.OnLoadReport(1000, "i0", {30, 0, 64});
@@ -381,20 +379,21 @@
   CHECK(choice.Choose(1300, TestQuery()).chosen->id == "i0");
 }
 
-TEST_CASE("server choice: what several others have set aside is passed over, one's own answer goes before") {
+TEST_CASE(
+    "server choice: avoids a server that several others have set aside, unless it just answered this one") {
   ServerChoice choice({0, 4}, "z", 10);
   choice.Update(0, Servers(3));
   const auto others_set_aside = [&](double now_ms, int routers) {
     choice.OnFleetLoads(now_ms, {true, {{fleet::LoadKey("i0"), 0, 0, routers}}});
   };
-  others_set_aside(1, 1);  // one may have a bad link
+  others_set_aside(1, 1);  // a single router may have a bad link
   CHECK(Count(choice, 1, 300, TestQuery()).contains("i0"));
   others_set_aside(2, 2);
   CHECK_FALSE(Count(choice, 2, 300, TestQuery()).contains("i0"));
   choice.OnSent(3, "i0", {}, nullptr);
   choice.OnEnded(3, "i0", true, 0, ServerOutcome::kAnswered);
   CHECK(Count(choice, 4, 300, TestQuery()).contains("i0"));
-  // Its own failure is told to the others; that it could not be reached is not.
+  // A server's failure is published to the other routers; that it was unreachable is not.
   choice.OnEnded(5, "i1", false, 0, ServerOutcome::kFailed);
   choice.OnEnded(5, "i2", false, 0, ServerOutcome::kUnreachable);
   const fleet::ServerLoads told = choice.TakeLoadUpdate(6, true);
--- a/tests/router/shutdown_test.cpp
+++ b/tests/router/shutdown_test.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("shutdown: one that was not told to stop takes all requests and does not end") {
+TEST_CASE("shutdown: a router that is not shutting down accepts all requests and does not exit") {
   const Shutdown shutdown(kGraceMs);
   CHECK_FALSE(shutdown.begun());
   CHECK(shutdown.AcceptsRequests(1e9));
@@ -24,7 +24,7 @@
   CHECK_FALSE(shutdown.MayExit(1e9, 0));
 }
 
-TEST_CASE("shutdown: until the platform has noticed, all is served as before") {
+TEST_CASE("shutdown: until the platform has noticed, everything is served as before") {
   const Shutdown shutdown = BegunShutdown();
   const double last_ms = kBeginMs + Shutdown::kPlatformNoticeMs - 1;
   CHECK(shutdown.Admits(last_ms, last_ms + 30'000));
@@ -32,7 +32,7 @@
   CHECK_FALSE(shutdown.MayExit(last_ms, 0));
 }
 
-TEST_CASE("shutdown: after that a request is begun only if it ends within the grace period") {
+TEST_CASE("shutdown: after that a request is accepted only if it ends within the grace period") {
   const Shutdown shutdown = BegunShutdown();
   const double now_ms = kBeginMs + Shutdown::kPlatformNoticeMs;
   const double end_ms = kBeginMs + kGraceMs - Shutdown::kExitBeforeEndMs;
@@ -41,7 +41,7 @@
   CHECK(shutdown.ClosesIdleConnections(now_ms));
 }
 
-TEST_CASE("shutdown: late in the grace period nothing is begun") {
+TEST_CASE("shutdown: late in the grace period no request is accepted") {
   const Shutdown shutdown = BegunShutdown();
   const double last_ms = kBeginMs + kGraceMs - Shutdown::kRefuseBeforeEndMs;
   CHECK(shutdown.Admits(last_ms, last_ms + 10));
@@ -49,7 +49,7 @@
   CHECK_FALSE(shutdown.Admits(last_ms + 1, last_ms + 10));
 }
 
-TEST_CASE("shutdown: it ends with the last client, and just before its grace is over in any case") {
+TEST_CASE("shutdown: exits with the last client, at the latest just before the end of the grace period") {
   const Shutdown shutdown = BegunShutdown();
   const double noticed_ms = kBeginMs + Shutdown::kPlatformNoticeMs;
   CHECK(shutdown.MayExit(noticed_ms, 0));
@@ -59,13 +59,13 @@
   CHECK(shutdown.MayExit(latest_ms + 1, 1));
 }
 
-TEST_CASE("shutdown: told a second time, the grace period does not begin anew") {
+TEST_CASE("shutdown: a second call does not restart the grace period") {
   Shutdown shutdown = BegunShutdown();
   shutdown.Begin(kBeginMs + 5000);
   CHECK(shutdown.MayExit(kBeginMs + kGraceMs, 1));
 }
 
-TEST_CASE("shutdown: a grace period shorter than the platform's notice still lets it end") {
+TEST_CASE("shutdown: exits even if the grace period is shorter than the platform's notice time") {
   Shutdown shutdown(1000);
   shutdown.Begin(0);
   CHECK_FALSE(shutdown.AcceptsRequests(0));
--- a/tests/router/zone_reach_test.cpp
+++ b/tests/router/zone_reach_test.cpp
@@ -4,7 +4,7 @@
 
 namespace bitternmux::router {
 
-TEST_CASE("zone reach: one silent server is down by itself, two of a zone that says nothing are cut off") {
+TEST_CASE("zone reach: one unresponsive server may be down; two in a zone without responses mean a cut") {
   ZoneReach reach;
   reach.OnNoResponse(700, "far", "i1", 0);
   reach.OnNoResponse(1500, "far", "i1", 800);
@@ -15,7 +15,7 @@
   CHECK(reach.MayTry(1600, "near"));
 }
 
-TEST_CASE("zone reach: a word since the attempt began says that the server alone is silent") {
+TEST_CASE("zone reach: a response since the attempt began shows that only the server is unresponsive") {
   ZoneReach reach;
   reach.OnNoResponse(700, "far", "i1", 0);
   reach.OnResponse(800, "far");
@@ -26,7 +26,7 @@
   CHECK(reach.IsCutOff("far"));
 }
 
-TEST_CASE("zone reach: one trial at a time, ever more rarely, until a word comes") {
+TEST_CASE("zone reach: one trial at a time, at growing intervals, until a response arrives") {
   ZoneReach reach;
   for (const char* server : {"i1", "i2"}) reach.OnNoResponse(700, "far", server, 0);
   int trials = 0;
@@ -40,7 +40,7 @@
   CHECK(trials <= 8);
   reach.OnResponse(20'700, "far");
   CHECK(reach.MayTry(20'700, "far"));
-  // The next cut begins with the first pause.
+  // The next cut starts with the initial pause again.
   for (const char* server : {"i1", "i2"}) reach.OnNoResponse(30'000, "far", server, 29'300);
   CHECK_FALSE(reach.MayTry(30'400, "far"));
   CHECK(reach.MayTry(30'600, "far"));
