--- a/src/router/request_attempts.cpp
+++ b/src/router/request_attempts.cpp
@@ -23,7 +23,7 @@
   if (Left(now_ms) < kLeastTimeMs) return Refuse(0, EndReason::kNoTime);
   ServerQuery query;
   query.service = service_;
-  query.aim_ms = route_->target_latency_ms;
+  query.target_ms = route_->target_latency_ms;
   query.prompt = prompt_ ? &*prompt_ : nullptr;
   query.excluded = excluded_;
   query.repeatable = route_->Repeatable();
--- a/src/router/server_choice.cpp
+++ b/src/router/server_choice.cpp
@@ -211,7 +211,7 @@
     if (server->slots > 0 && queue >= server->slots)
       key += pace * model.MsPerRequest() * kRequestsPerWaiting * (queue - server->slots + 1);
     if (server->entry.zone != own_zone_) key += kOtherZonePenaltyMs;
-    key -= (1 - kLowCostSlope) * std::min(key, kLowCostShare * query.aim_ms);
+    key -= (1 - kLowCostSlope) * std::min(key, kLowCostShare * query.target_ms);
     key += kPrefillWeight * prefill_ms + kInterferenceWeight * prefill_ms * queue;
     ranking.push_back({server, key, UniformRandom(), queue, uncached, expected_ms, work});
   }
--- a/src/router/server_choice.h
+++ b/src/router/server_choice.h
@@ -62,7 +62,7 @@
 
 struct ServerQuery {
   std::string service;
-  double aim_ms = 0;                  // target latency of the first event
+  double target_ms = 0;                  // target latency of the first event
   const Prompt* prompt = nullptr;     // null: not a request to a model
   std::vector<std::string> excluded;  // servers that this request was sent to already
   bool repeatable = false;
--- a/tests/router/first_event_model_test.cpp
+++ b/tests/router/first_event_model_test.cpp
@@ -13,17 +13,17 @@
 
 struct Engine {
   double base_ms = 12, ms_per_token = 0.03, ms_per_request = 1.5;
-  double First(const WorkAhead& work) const {
+  double FirstEventMs(const WorkAhead& work) const {
     return base_ms + ms_per_token * work.tokens + ms_per_request * work.requests;
   }
 };
 
-Engine Times(double factor) {
+Engine EngineWithFactor(double factor) {
   const Engine usual;
   return {usual.base_ms * factor, usual.ms_per_token * factor, usual.ms_per_request * factor};
 }
 
-WorkAhead AnyWork(std::mt19937& random) {
+WorkAhead RandomWork(std::mt19937& random) {
   return {std::uniform_real_distribution<double>(50, 9000)(random),
           std::uniform_real_distribution<double>(0, 30)(random)};
 }
@@ -32,17 +32,17 @@
 
 TEST_CASE("first event model: learns a service three times as slow or as fast as the prior") {
   const double factor = GENERATE(1.0 / 3, 1.0, 3.0);
-  const Engine engine = Times(factor);
+  const Engine engine = EngineWithFactor(factor);
   std::mt19937 random(5);
   std::uniform_real_distribution<double> noise(0.8, 1.2);
   FirstEventModel model;
   for (int i = 0; i < 1200; ++i) {
-    const WorkAhead work = AnyWork(random);
-    model.Learn(work, engine.First(work) * noise(random));
+    const WorkAhead work = RandomWork(random);
+    model.Learn(work, engine.FirstEventMs(work) * noise(random));
   }
   for (const WorkAhead& work : {WorkAhead{200, 2}, WorkAhead{3000, 5}, WorkAhead{9000, 20}}) {
     CAPTURE(factor, work.tokens);
-    CHECK(model.Expected(work) == Approx(engine.First(work)).epsilon(0.25));
+    CHECK(model.Expected(work) == Approx(engine.FirstEventMs(work)).epsilon(0.25));
   }
 }
 
@@ -51,17 +51,17 @@
   FirstEventModel model;
   const WorkAhead probe = {3000, 5};
   for (int i = 0; i < 300; ++i) {
-    const WorkAhead work = AnyWork(random);
-    model.Learn(work, Times(1).First(work));
+    const WorkAhead work = RandomWork(random);
+    model.Learn(work, EngineWithFactor(1).FirstEventMs(work));
   }
   const double before_ms = model.Expected(probe);
   model.Learn(probe, 5000);
   CHECK(model.Expected(probe) < 1.2 * before_ms);
   for (int i = 0; i < 1500; ++i) {
-    const WorkAhead work = AnyWork(random);
-    model.Learn(work, Times(3).First(work));
+    const WorkAhead work = RandomWork(random);
+    model.Learn(work, EngineWithFactor(3).FirstEventMs(work));
   }
-  CHECK(model.Expected(probe) == Approx(Times(3).First(probe)).epsilon(0.2));
+  CHECK(model.Expected(probe) == Approx(EngineWithFactor(3).FirstEventMs(probe)).epsilon(0.2));
 }
 
 TEST_CASE("first event model: coefficients stay valid when all answers are alike") {
@@ -86,7 +86,7 @@
 // A single router with three servers, one a third as fast and one three times as fast as usual. The fast
 // one becomes slow in the middle of the run.
 TEST_CASE("server choice: prefers the fastest of three engines, and follows a change of speed") {
-  constexpr double kDayMs = 120'000, kEveryMs = 60, kHalfMs = kDayMs / 2;
+  constexpr double kRunMs = 120'000, kRequestIntervalMs = 60, kHalfMs = kRunMs / 2;
   std::map<std::string, double> factors = {{"i0", 1.0}, {"i1", 3.0}, {"i2", 1.0 / 3}};
   fleet::ServerMap servers;
   for (const auto& [id, factor] : factors) servers[id] = {id, "s", "10.0.0.1:80", "z", 64, false};
@@ -98,16 +98,16 @@
   query.service = "s";
   query.prompt = &prompt;
   std::map<std::string, int> first_half, last_quarter;
-  for (double now_ms = 0; now_ms < kDayMs; now_ms += kEveryMs) {
+  for (double now_ms = 0; now_ms < kRunMs; now_ms += kRequestIntervalMs) {
     if (now_ms >= kHalfMs) factors["i2"] = 3.0;
     const auto chosen = choice.Choose(now_ms, query).chosen;
     REQUIRE(chosen);
     choice.OnSent(now_ms, chosen->id, *chosen, &prompt);
-    const double observed_ms = Times(factors[chosen->id]).First(chosen->work);
+    const double observed_ms = EngineWithFactor(factors[chosen->id]).FirstEventMs(chosen->work);
     choice.OnFirstEvent(now_ms + observed_ms, chosen->id, *chosen, observed_ms);
     choice.OnEnded(now_ms + observed_ms, chosen->id, true, chosen->uncached_tokens, ServerOutcome::kAnswered);
     if (now_ms > 5000 && now_ms < kHalfMs) ++first_half[chosen->id];
-    if (now_ms > 0.75 * kDayMs) ++last_quarter[chosen->id];
+    if (now_ms > 0.75 * kRunMs) ++last_quarter[chosen->id];
   }
   CHECK(first_half["i2"] > 0.8 * (first_half["i0"] + first_half["i1"] + first_half["i2"]));
   CHECK(last_quarter["i0"] > 0.6 * (last_quarter["i0"] + last_quarter["i1"] + last_quarter["i2"]));
--- a/tests/router/load_persistence_test.cpp
+++ b/tests/router/load_persistence_test.cpp
@@ -11,7 +11,7 @@
 
 // The persistence learned from loads of which `left_after_interval` remains after each update and the rest
 // is drawn anew.
-LoadPersistence Learned(double interval_ms, double left_after_interval, unsigned seed) {
+LoadPersistence LearnPersistence(double interval_ms, double left_after_interval, unsigned seed) {
   std::mt19937 random(seed);
   std::normal_distribution<double> draw(0, 1);
   std::vector<double> loads(kServers);
@@ -35,7 +35,7 @@
 TEST_CASE("load persistence: learned from successive updates, at any interval") {
   for (const double interval_ms : {50.0, 200.0, 460.0}) {
     for (const double left : {0.9, 0.6, 0.2}) {
-      const LoadPersistence persistence = Learned(interval_ms, left, 7);
+      const LoadPersistence persistence = LearnPersistence(interval_ms, left, 7);
       INFO(interval_ms << " ms, " << left);
       CHECK(persistence.After(interval_ms) == Approx(left).margin(0.05));
       CHECK(persistence.After(2 * interval_ms) == Approx(left * left).margin(0.08));
@@ -45,8 +45,8 @@
 }
 
 TEST_CASE("load persistence: near 0 for independent loads, near 1 for constant loads") {
-  CHECK(Learned(460, 0, 3).After(460) < 0.1);
-  CHECK(Learned(50, 1, 3).After(5000) == Approx(1).margin(0.01));
+  CHECK(LearnPersistence(460, 0, 3).After(460) < 0.1);
+  CHECK(LearnPersistence(50, 1, 3).After(5000) == Approx(1).margin(0.01));
 }
 
 TEST_CASE("load persistence: decays before anything was learned; ignores updates far apart") {
--- a/tests/router/server_choice_test.cpp
+++ b/tests/router/server_choice_test.cpp
@@ -25,7 +25,8 @@
   return query;
 }
 
-std::map<std::string, int> Count(ServerChoice& choice, double now_ms, int draws, const ServerQuery& query) {
+std::map<std::string, int> CountChoices(ServerChoice& choice, double now_ms, int draws,
+                                        const ServerQuery& query) {
   std::map<std::string, int> counts;
   for (int i = 0; i < draws; ++i) {
     const auto answer = choice.Choose(now_ms, query);
@@ -36,9 +37,9 @@
 
 // Requests of one router while all zones but its own are cut off: an attempt there ends without a
 // connection after the dial timeout, and the request is sent elsewhere.
-class CutPlay {
+class ZoneCutSimulation {
  public:
-  CutPlay() {
+  ZoneCutSimulation() {
     for (const char* zone : {"a", "b", "c", "d"}) {
       for (int i = 0; i < kServersOfZone; ++i) {
         const std::string id = zone + std::to_string(i);
@@ -47,11 +48,11 @@
     }
     choice_.Update(0, servers_);
     for (const auto& [id, entry] : servers_)
-      choice_.OnLoadReport(0, id, {IsCut(id) ? kOldLoad : kLoad, 0, 64});
+      choice_.OnLoadReport(0, id, {IsCut(id) ? kLoadBeforeCut : kLoad, 0, 64});
   }
 
   void Run(double until_ms) {
-    for (double at_ms = 0; at_ms < until_ms; at_ms += kBetweenMs)
+    for (double at_ms = 0; at_ms < until_ms; at_ms += kRequestIntervalMs)
       due_.emplace(at_ms, [this, at_ms] { Send(at_ms, 0); });
     while (!due_.empty()) {
       const auto next = due_.begin();
@@ -60,17 +61,17 @@
       step();
     }
   }
-  int requests = 0, served = 0, dials_into_the_cut = 0;
+  int requests = 0, served = 0, dials_into_cut_zones = 0;
 
  private:
-  static constexpr int kServersOfZone = 15, kMostSends = 4;
+  static constexpr int kServersOfZone = 15, kMaxSends = 4;
   static constexpr double kLoad = 30,
-                          kOldLoad = 10;  // load of reachable servers; of the others, before the cut
-  static constexpr double kBetweenMs = 150, kDialMs = 700, kAnswerMs = 50;
+                          kLoadBeforeCut = 10;  // load of reachable servers; of the others, before the cut
+  static constexpr double kRequestIntervalMs = 150, kDialMs = 700, kAnswerMs = 50;
 
   void Send(double now_ms, int sends) {
     if (sends == 0) ++requests;
-    if (sends == kMostSends) return;
+    if (sends == kMaxSends) return;
     const auto chosen = choice_.Choose(now_ms, TestQuery()).chosen;
     if (!chosen) return;
     choice_.OnSent(now_ms, chosen->id, *chosen, nullptr);
@@ -78,7 +79,7 @@
   }
   bool IsCut(const std::string& id) const { return servers_.at(id).zone != "a"; }
   void Dial(double sent_ms, const std::string& id, int sends) {
-    ++dials_into_the_cut;
+    ++dials_into_cut_zones;
     due_.emplace(sent_ms + kDialMs, [=, this] {
       choice_.OnNoResponse(sent_ms + kDialMs, id, sent_ms);
       choice_.OnEnded(sent_ms + kDialMs, id, false, 0, ServerOutcome::kUnreachable);
@@ -105,7 +106,7 @@
   choice.Update(0, Servers(4));
   for (int i = 0; i < 4; ++i)
     choice.OnLoadReport(1, "i" + std::to_string(i), {static_cast<double>(i < 2 ? 3 : 20), 0, 64});
-  const auto counts = Count(choice, 2, 1000, TestQuery());
+  const auto counts = CountChoices(choice, 2, 1000, TestQuery());
   CHECK(counts.size() == 2);
   CHECK(counts.at("i0") > 400);
   CHECK(counts.at("i1") > 400);
@@ -117,7 +118,7 @@
   choice.Update(0, Servers(2));
   choice.OnLoadReport(1, "i0", {10, 0, 64});
   choice.OnLoadReport(1, "i1", {20, 0, 64});
-  const auto counts = Count(choice, 1, 20'000, TestQuery());
+  const auto counts = CountChoices(choice, 1, 20'000, TestQuery());
   // In each walk 0.8 take the first and 0.2 * 0.6 the second; the rest restarts.
   const double first = 0.8 / (0.8 + 0.2 * 0.6);
   CHECK(counts.at("i0") / 20'000.0 == Approx(first).margin(0.015));
@@ -126,7 +127,7 @@
   full.Update(0, Servers(2));
   full.OnLoadReport(1, "i0", {10, 0, 64});
   full.OnLoadReport(1, "i1", {20, 0, 64});
-  CHECK(Count(full, 1, 100, TestQuery()).at("i0") == 100);
+  CHECK(CountChoices(full, 1, 100, TestQuery()).at("i0") == 100);
 }
 
 TEST_CASE("server choice: counts this router's own requests; a failure leaves the load figure unchanged") {
@@ -151,12 +152,12 @@
   choice.Update(0, servers);
   ServerQuery query = TestQuery();
   query.excluded = {"i1"};
-  CHECK(Count(choice, 1, 50, query).at("i2") == 50);
+  CHECK(CountChoices(choice, 1, 50, query).at("i2") == 50);
   CHECK_FALSE(choice.Serves("i0", "10.0.0.0:80"));
   CHECK(choice.Serves("i1", "10.0.0.1:80"));
   CHECK_FALSE(choice.Serves("i1", "10.0.0.9:80"));
   choice.OnEnded(1, "i2", false, 0, ServerOutcome::kFailed);
-  CHECK(Count(choice, 2, 50, TestQuery()).at("i1") == 50);
+  CHECK(CountChoices(choice, 2, 50, TestQuery()).at("i1") == 50);
   // If all are set aside, none is treated so.
   choice.OnEnded(2, "i1", false, 0, ServerOutcome::kFailed);
   CHECK(choice.Choose(3, TestQuery()).chosen);
@@ -170,18 +171,18 @@
   fleet::ServerMap servers = Servers(3);
   servers["i0"].cold = true;
   choice.Update(0, servers);
-  CHECK(Count(choice, 1, 300, TestQuery()).size() == 3);
+  CHECK(CountChoices(choice, 1, 300, TestQuery()).size() == 3);
   choice.ProtectCold({{"other", 3000}});
-  CHECK(Count(choice, 1, 300, TestQuery()).size() == 3);
+  CHECK(CountChoices(choice, 1, 300, TestQuery()).size() == 3);
   choice.ProtectCold({{"s", 3000}});
-  CHECK_FALSE(Count(choice, 1, 300, TestQuery()).contains("i0"));
+  CHECK_FALSE(CountChoices(choice, 1, 300, TestQuery()).contains("i0"));
   // Not even if all others are set aside.
   for (const char* id : {"i1", "i2"}) choice.OnEnded(1, id, false, 0, ServerOutcome::kFailed);
-  CHECK_FALSE(Count(choice, 2, 300, TestQuery()).contains("i0"));
+  CHECK_FALSE(CountChoices(choice, 2, 300, TestQuery()).contains("i0"));
   CHECK(choice.Serves("i0", "10.0.0.0:80"));
   servers["i0"].cold = false;
   choice.Update(3, servers);
-  CHECK(Count(choice, 4, 300, TestQuery()).at("i0") == 300);
+  CHECK(CountChoices(choice, 4, 300, TestQuery()).at("i0") == 300);
 }
 
 TEST_CASE("server choice: if only cold servers are left, none is chosen until one may be warm") {
@@ -220,10 +221,10 @@
 // A router that was cut off detected each server behind the cut separately and repeatedly, while its
 // requests waited for dial timeouts.
 TEST_CASE("server choice: during a cut requests go to reachable servers") {
-  CutPlay play;
-  play.Run(20'000);
-  CHECK(play.served == play.requests);
-  CHECK(play.dials_into_the_cut < play.requests / 2);
+  ZoneCutSimulation simulation;
+  simulation.Run(20'000);
+  CHECK(simulation.served == simulation.requests);
+  CHECK(simulation.dials_into_cut_zones < simulation.requests / 2);
 }
 
 TEST_CASE("server choice: one response from a zone that was cut off makes all its servers available") {
@@ -233,15 +234,15 @@
   choice.Update(0, servers);
   for (int i = 0; i < 4; ++i) choice.OnLoadReport(0, "i" + std::to_string(i), {0, 0, 64});
   for (const char* id : {"i0", "i1"}) choice.OnNoResponse(700, id, 1);
-  CHECK(Count(choice, 701, 50, TestQuery()).at("near") == 50);
+  CHECK(CountChoices(choice, 701, 50, TestQuery()).at("near") == 50);
   choice.OnLoadReport(702, "near", {30, 0, 64});
   const auto trial = choice.Choose(1300, TestQuery()).chosen;
   REQUIRE(trial);
   CHECK(trial->zone_cut_off);
   choice.OnSent(1300, trial->id, *trial, nullptr);
-  CHECK(Count(choice, 1301, 50, TestQuery()).at("near") == 50);
+  CHECK(CountChoices(choice, 1301, 50, TestQuery()).at("near") == 50);
   choice.OnEnded(1310, trial->id, true, 0, ServerOutcome::kAnswered);
-  CHECK_FALSE(Count(choice, 1311, 50, TestQuery()).contains("near"));
+  CHECK_FALSE(CountChoices(choice, 1311, 50, TestQuery()).contains("near"));
 }
 
 TEST_CASE("server choice: reports that all servers are busy, and chooses none") {
@@ -294,14 +295,14 @@
   ServerChoice choice({0, 4}, "z", 8);
   choice.Update(0, Servers(6));
   const std::string home = choice.Choose(1, query).chosen->id;
-  const auto tell_prefill = [&](std::int32_t tokens) {
+  const auto receive_prefill = [&](std::int32_t tokens) {
     choice.OnFleetLoads(2, {true, {{fleet::LoadKey(home), 2, tokens, 0}}});
   };
-  tell_prefill(6000);
+  receive_prefill(6000);
   CHECK(choice.Choose(2, query).chosen->id != home);
-  query.aim_ms = 600;
+  query.target_ms = 600;
   CHECK(choice.Choose(2, query).chosen->id == home);
-  tell_prefill(40'000);
+  receive_prefill(40'000);
   CHECK(choice.Choose(2, query).chosen->id != home);
 }
 
@@ -314,7 +315,7 @@
   ServerQuery query = TestQuery();
   query.excluded = {"i0"};
   CHECK(choice.Choose(1, query).chosen->id == "i2");
-  const auto later = Count(choice, 200'000, 300, TestQuery());
+  const auto later = CountChoices(choice, 200'000, 300, TestQuery());
   CHECK(later.size() == 3);
 }
 
@@ -327,9 +328,9 @@
   const auto chosen = choice.Choose(1, TestQuery()).chosen;
   REQUIRE(chosen);
   for (int i = 0; i < 2; ++i) choice.OnSent(1, "i1", *chosen, nullptr);
-  const fleet::ServerLoads told = choice.TakeLoadUpdate(1, false);
-  REQUIRE(told.rows.size() == 1);
-  CHECK(told.rows[0] == fleet::ServerLoad{fleet::LoadKey("i1"), 2, 0, 0});
+  const fleet::ServerLoads load_update = choice.TakeLoadUpdate(1, false);
+  REQUIRE(load_update.rows.size() == 1);
+  CHECK(load_update.rows[0] == fleet::ServerLoad{fleet::LoadKey("i1"), 2, 0, 0});
   CHECK(choice.TakeLoadUpdate(1, false).rows.empty());
   CHECK(choice.TakeLoadUpdate(1, true).rows.size() == 1);
   CHECK(choice.Choose(1, TestQuery()).chosen->id == "i1");  // 3 requests of the fleet against 5
@@ -349,15 +350,15 @@
     ServerChoice choice({0, 4}, "z", 8);
     choice.Update(0, servers);
     const std::string home = choice.Choose(1, query).chosen->id;
-    const auto tell = [&](double now_ms, const std::string& crowded) {
+    const auto receive_loads = [&](double now_ms, const std::string& crowded) {
       choice.OnFleetLoads(now_ms,
                           {true, {{fleet::LoadKey(crowded), 6, 60'000, 0}}, static_cast<float>(age_ms)});
     };
     // The overloaded server changes with each update, or stays the same.
     for (int update = 0; update < 60; ++update) {
-      tell(10 + 460 * update, changes ? "i" + std::to_string(update % 12) : home);
+      receive_loads(10 + 460 * update, changes ? "i" + std::to_string(update % 12) : home);
     }
-    tell(10 + 460 * 60, home);
+    receive_loads(10 + 460 * 60, home);
     return choice.Choose(10 + 460 * 60, query).chosen->id != home;
   };
   CHECK_FALSE(leaves_home(400, /*changes=*/true));
@@ -369,13 +370,13 @@
   ServerChoice choice({0, 4}, "z", 11);
   choice.Update(0, Servers(2));
   choice.OnLoadReport(1000, "i0", {30, 0, 64});
-  const auto tell = [&](double now_ms, float age_ms) {
+  const auto receive_loads = [&](double now_ms, float age_ms) {
     choice.OnFleetLoads(now_ms,
                         {true, {{fleet::LoadKey("i0"), 2, 0, 0}, {fleet::LoadKey("i1"), 6, 0, 0}}, age_ms});
   };
-  tell(1010, 200);
+  receive_loads(1010, 200);
   CHECK(choice.Choose(1010, TestQuery()).chosen->id == "i1");
-  tell(1300, 20);
+  receive_loads(1300, 20);
   CHECK(choice.Choose(1300, TestQuery()).chosen->id == "i0");
 }
 
@@ -387,19 +388,19 @@
     choice.OnFleetLoads(now_ms, {true, {{fleet::LoadKey("i0"), 0, 0, routers}}});
   };
   others_set_aside(1, 1);  // a single router may have a bad link
-  CHECK(Count(choice, 1, 300, TestQuery()).contains("i0"));
+  CHECK(CountChoices(choice, 1, 300, TestQuery()).contains("i0"));
   others_set_aside(2, 2);
-  CHECK_FALSE(Count(choice, 2, 300, TestQuery()).contains("i0"));
+  CHECK_FALSE(CountChoices(choice, 2, 300, TestQuery()).contains("i0"));
   choice.OnSent(3, "i0", {}, nullptr);
   choice.OnEnded(3, "i0", true, 0, ServerOutcome::kAnswered);
-  CHECK(Count(choice, 4, 300, TestQuery()).contains("i0"));
+  CHECK(CountChoices(choice, 4, 300, TestQuery()).contains("i0"));
   // A server's failure is published to the other routers; that it was unreachable is not.
   choice.OnEnded(5, "i1", false, 0, ServerOutcome::kFailed);
   choice.OnEnded(5, "i2", false, 0, ServerOutcome::kUnreachable);
-  const fleet::ServerLoads told = choice.TakeLoadUpdate(6, true);
-  REQUIRE(told.rows.size() == 1);
-  CHECK(told.rows[0].server == fleet::LoadKey("i1"));
-  CHECK(told.rows[0].set_aside == 1);
+  const fleet::ServerLoads load_update = choice.TakeLoadUpdate(6, true);
+  REQUIRE(load_update.rows.size() == 1);
+  CHECK(load_update.rows[0].server == fleet::LoadKey("i1"));
+  CHECK(load_update.rows[0].set_aside == 1);
 }
 
 }  // namespace bitternmux::router
