--- a/src/router/first_event_model.h
+++ b/src/router/first_event_model.h
@@ -7,8 +7,8 @@
 //
 // by least squares with exponential forgetting (kMemoryAnswers answers), from a prior that counts as
 // kPriorWeight answers. In addition each server has a factor: the time that its answers took divided by the
-// model's estimate, over some seconds. Thus a server that is three times as slow or as fast as the others is
-// judged by its own answers, and one that changes its speed is judged anew. The factor of a server without
+// model's estimate, over the last seconds. Thus a server that is three times as slow or as fast as the others
+// is judged by its own answers, and one that changes its speed is judged anew. The factor of a server without
 // answers returns to 1.
 //
 // Bounds: three coefficients for each service, none below 0; factors between kMinFactor and kMaxFactor.
--- a/src/router/load_persistence.h
+++ b/src/router/load_persistence.h
@@ -30,7 +30,7 @@
   double After(double age_ms) const;
 
  private:
-  static constexpr double kMemoryUpdates = 40;    // updates
+  static constexpr double kMemoryUpdates = 40;    // learned values are forgotten over about this many updates
   static constexpr double kPriorLifeMs = 300;     // decay time until something has been learned
   static constexpr double kPriorVariance = 1;     // weight of the prior
   static constexpr double kMaxIntervalMs = 3000;  // updates further apart are not compared
--- a/src/router/prefix_index.h
+++ b/src/router/prefix_index.h
@@ -30,7 +30,7 @@
   static std::uint64_t HomeWeight(std::uint64_t prefix_hash, std::string_view server);
 
  private:
-  using Parts = std::unordered_map<std::uint64_t, double>;  // by chain hash: when the part was last sent
+  using Parts = std::unordered_map<std::uint64_t, double>;  // by prefix hash: when it was last sent
   static void Trim(Parts& parts);
 
   std::unordered_map<std::string, Parts> servers_;
--- a/src/router/prompt.h
+++ b/src/router/prompt.h
@@ -9,7 +9,7 @@
 
 namespace bitternmux::router {
 
-// A part of a prompt that other prompts may share. `prefix_hash` is a hash that identifies this part together
+// A part of a prompt that other prompts may share. `prefix_hash` identifies this part together
 // with all parts before it: a server caches a part only together with these.
 struct PromptPart {
   std::uint64_t prefix_hash = 0;
--- a/src/router/server_choice.h
+++ b/src/router/server_choice.h
@@ -60,14 +60,17 @@
   double running = 0, waiting = 0, slots = 0;
 };
 
+// Describes a request for which a server is to be chosen.
 struct ServerQuery {
   std::string service;
-  double target_ms = 0;                  // target latency of the first event
+  double target_ms = 0;               // target latency of the first event
   const Prompt* prompt = nullptr;     // null: not a request to a model
   std::vector<std::string> excluded;  // servers that this request was sent to already
   bool repeatable = false;
 };
 
+// How an attempt at a server ended. kRejected: the server did not run the request; kMisdirected: another
+// server has that address; kAbandoned: the router or the client gave the attempt up.
 enum class ServerOutcome { kAnswered, kRejected, kFailed, kMisdirected, kUnreachable, kAbandoned };
 
 class ServerChoice {
@@ -131,7 +134,7 @@
     PaceFactor pace;
     int failures = 0;            // since its last answer
     double answered_ms = -1e18;  // time of its last answer
-    // Set aside until then after a failure of the server, which is published.
+    // Until then the server is set aside for a failure of its own, and this is published.
     double failure_published_until_ms = 0;
     double set_aside_until_ms = 0;
     double cold_since_ms = 0;  // when it was first listed as cold; valid while it is cold
