--- a/src/router/server_choice.cpp
+++ b/src/router/server_choice.cpp
@@ -124,15 +124,15 @@
 // caches everything up to and including it.
 double ServerChoice::CachedTokens(const Server& server, const std::string& home, const Prompt& prompt,
                                   double now_ms) const {
-  double saved = 0, tokens = 0;
+  double cached_tokens = 0, tokens = 0;
   for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
     const PromptPart& part = prompt.parts[i];
     tokens += part.tokens;
     const bool is_session_part = i + 2 == prompt.parts.size();
     const bool at_home = is_session_part && server.entry.id == home;
-    if (at_home || prefix_index_.IsCached(now_ms, server.entry.id, part.prefix_hash)) saved = tokens;
+    if (at_home || prefix_index_.IsCached(now_ms, server.entry.id, part.prefix_hash)) cached_tokens = tokens;
   }
-  return saved;
+  return cached_tokens;
 }
 
 // The home server of the prompt's session, on which all routers agree; empty if there is no session.
--- a/src/router/server_choice.h
+++ b/src/router/server_choice.h
@@ -24,7 +24,7 @@
 //
 // A server that fails is set aside for a time that doubles with each failure; the next answer ends it. A
 // server is also set aside while several other routers have set it aside, or while its zone is cut off
-// (zone_reach.h). If all servers are set aside, none is treated so. A draining server gets no new requests.
+// (zone_reach.h). If all servers are set aside, this is ignored. A draining server gets no new requests.
 //
 // Bounds: one row for each listed server. Not thread-safe. Times are in milliseconds on one clock.
 #ifndef BITTERNMUX_SRC_ROUTER_SERVER_CHOICE_H_
--- a/src/router/zone_reach.h
+++ b/src/router/zone_reach.h
@@ -7,8 +7,8 @@
 // passed over, except for one trial attempt at a time, after pauses that double. A single response from any
 // server of the zone ends this state.
 //
-// Without this, each server behind a cut would be detected separately and repeatedly, at the cost of a dial
-// timeout each time.
+// Without this, each unreachable server of a zone would be detected separately and repeatedly, at the
+// cost of a dial timeout each time.
 //
 // Bounds: one row for each zone, with its unresponsive servers. Not thread-safe. Times are in milliseconds
 // on one clock.
--- a/tests/router/server_choice_test.cpp
+++ b/tests/router/server_choice_test.cpp
@@ -158,7 +158,7 @@
   CHECK_FALSE(choice.Serves("i1", "10.0.0.9:80"));
   choice.OnEnded(1, "i2", false, 0, ServerOutcome::kFailed);
   CHECK(CountChoices(choice, 2, 50, TestQuery()).at("i1") == 50);
-  // If all are set aside, none is treated so.
+  // If all servers are set aside, this is ignored.
   choice.OnEnded(2, "i1", false, 0, ServerOutcome::kFailed);
   CHECK(choice.Choose(3, TestQuery()).chosen);
   query.service = "nobody";
@@ -218,7 +218,7 @@
     CHECK(warm.Choose(1, TestQuery()).chosen->id == cold.Choose(1, TestQuery()).chosen->id);
 }
 
-// A router that was cut off detected each server behind the cut separately and repeatedly, while its
+// A router that was cut off detected each unreachable server separately and repeatedly, while its
 // requests waited for dial timeouts.
 TEST_CASE("server choice: during a cut requests go to reachable servers") {
   ZoneCutSimulation simulation;
