--- a/tests/router/front_test.cpp
+++ b/tests/router/front_test.cpp
@@ -1,4 +1,4 @@
-// The clients' side on real sockets, in one process.
+// Tests of the HTTP server for clients, on real sockets in one process.
 #include "router/front.h"
 
 #include <array>
@@ -18,7 +18,7 @@
 
 const std::string kRequest = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
 
-// A front whose requests the test answers, and one client.
+// A Front whose requests the test answers, and one client connected to it.
 class Stand {
  public:
   Stand() {
@@ -30,12 +30,12 @@
     client_.non_blocking(true);
   }
   void Send(const std::string& bytes) { asio::write(client_, asio::buffer(bytes)); }
-  // The responder of the request of that number, once it has come.
+  // Waits for the request with that index and returns its responder.
   std::shared_ptr<Responder> Taken(std::size_t number) {
     REQUIRE(support::RunUntil(io_, [&] { return taken_.size() > number; }));
     return taken_[number];
   }
-  // Whether the client gets to see that text.
+  // Whether the client receives that text.
   bool Sees(const std::string& text) {
     return support::RunUntil(io_, [&] { return Read().find(text) != std::string::npos; });
   }
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-TEST_CASE("front: who still holds the answer to a request that is over cannot write into the next one") {
+TEST_CASE("front: a stale responder cannot write into the response to the next request") {
   Stand stand;
   stand.Send(kRequest);
   const auto first = stand.Taken(0);
@@ -67,20 +67,20 @@
   REQUIRE(stand.Sees("first"));
   stand.Send(kRequest);
   const auto second = stand.Taken(1);
-  SECTION("a whole answer") { first->Respond(200, {}, "stale"); }
+  SECTION("a complete response") { first->Respond(200, {}, "stale"); }
   SECTION("a stream") {
     first->BeginStream(200, {});
     first->Piece("stale");
     first->EndStream();
   }
-  SECTION("a broken one") { first->BreakOff(); }
+  SECTION("an aborted stream") { first->BreakOff(); }
   CHECK(first->Unsent() == 0);
   second->Respond(200, {}, "second");
   CHECK(stand.Sees("second"));
   CHECK(stand.Read().find("stale") == std::string::npos);
 }
 
-TEST_CASE("front: requests that come at once are answered one behind the other") {
+TEST_CASE("front: pipelined requests are answered in order") {
   Stand stand;
   stand.Send(kRequest + kRequest);
   stand.Taken(0)->Respond(200, {}, "first");
--- a/tests/router/request_flow_test.cpp
+++ b/tests/router/request_flow_test.cpp
@@ -1,6 +1,6 @@
-// The flow of a request where two events cross: its client, its time, its server's connection and its end.
-// The servers are real sockets, the client's side is a mock (docs/design/control-review.md has the table of
-// crossings).
+// Races between two events in the flow of a request: client disconnect, deadline, server connection and end
+// of the request. The servers are real sockets, the client side is a mock. docs/design/control-review.md
+// lists the races.
 #include "router/request_flow.h"
 
 #include <algorithm>
@@ -57,7 +57,7 @@
   return configuration;
 }
 
-// A server to which no connection comes up, nor is refused: its queue of new ones is full.
+// A server whose accept queue is full, so that connections to it are neither established nor refused.
 class SilentServer {
  public:
   explicit SilentServer(asio::io_context& io) : acceptor_(io), first_(io), second_(io) {
@@ -75,7 +75,7 @@
   tcp::socket first_, second_;
 };
 
-// A router's state before two servers whose connections the test holds.
+// Test environment: the state of a router with two servers, whose connections the test accepts.
 class Stand {
  public:
   Stand() {
@@ -110,7 +110,7 @@
     return support::RunUntil(io_, holds);
   }
 
-  // The connection of the next attempt, with its request read; counts who was asked.
+  // Accepts the connection of the next attempt, reads its request and counts the attempt for its server.
   std::unique_ptr<tcp::socket> Accept() {
     auto socket = std::make_unique<tcp::socket>(io_);
     REQUIRE(Until([&] {
@@ -128,10 +128,10 @@
     request_.assign(piece.data(), socket->read_some(asio::buffer(piece)));
     return socket;
   }
-  // The newest one, as its server read it.
+  // The most recent request, as the server received it.
   const std::string& request() const { return request_; }
 
-  // Has the router dialed a server that has not accepted yet?
+  // Whether the router has opened a connection that is not accepted yet.
   bool IsAsked() {
     return std::ranges::any_of(listeners_, [&](const auto& listener) {
       boost::system::error_code error;
@@ -141,7 +141,7 @@
     });
   }
 
-  // Reads until the router has ended the connection.
+  // Reads until the router has closed the connection.
   bool Ends(tcp::socket& socket) {
     socket.non_blocking(true);
     return Until([&] {
@@ -152,7 +152,7 @@
     });
   }
 
-  // The client's tenant has a quota, of which nothing is granted yet.
+  // Gives the client's tenant a quota of which nothing is granted yet.
   void LimitTenant() {
     fleet::Configuration configuration = Routes();
     fleet::Tenant tenant;
@@ -162,7 +162,7 @@
     configuration.tenants = {tenant};
     state_.table = std::make_shared<const RouteTable>(configuration);
   }
-  // The grantor answers, and lets one request through.
+  // Grants quota for one request.
   void GrantOne() {
     const auto requests = state_.quota.TakeRequests();
     REQUIRE(requests.size() == 1);
@@ -175,14 +175,14 @@
   }
   const fleet::QuotaLedger& quota() const { return state_.quota; }
 
-  // All servers are cold for so long and get nothing.
+  // Makes all servers cold for that time, so that they get no requests.
   void TurnCold(double cold_ms) {
     for (auto& [id, entry] : servers_) entry.cold = true;
     state_.choice.ProtectCold({{"s", cold_ms}});
     state_.choice.Update(SteadyNowMs(), servers_);
   }
 
-  // More servers, in a zone behind a cut, which look better than the others.
+  // Adds servers in a zone behind a network partition. Their reported load is lower than that of the others.
   void AddServersBehindCut(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
       const std::string id = "cut" + std::to_string(i);
@@ -195,7 +195,7 @@
   }
   std::uint64_t dialed() const { return state_.upstream.figures().dialed; }
 
-  // May the router repeat so many more requests?
+  // Whether the retry budget allows that many more repeats.
   bool MayRepeatMore(int count) {
     for (int i = 0; i < count; ++i) {
       if (!state_.budget.Spend(SteadyNowMs(), "s")) return false;
@@ -255,7 +255,7 @@
 
 }  // namespace
 
-TEST_CASE("request flow: a client that leaves while its answer is passed on gets nothing more") {
+TEST_CASE("request flow: nothing is sent to a client that disconnects while its response is forwarded") {
   Stand stand;
   ALLOW_CALL(stand.responder(), Unsent()).RETURN(0u);
   std::shared_ptr<RequestFlow> flow;
@@ -269,16 +269,16 @@
     Send(*server, kStreamHead + Chunk("id: 1\ndata: x\n\n"));
     REQUIRE(stand.Until([&] { return pieces == 1; }));
   }
-  // The rest of the answer lies in the socket as the client leaves; the mock allows no call any more.
+  // The rest of the response is still unread when the client disconnects; the mock allows no further call.
   Send(*server, Chunk("id: 2\ndata: x\n\n") + "0\r\n\r\n");
   flow->ClientLeft();
   CHECK(stand.Ends(*server));
   stand.RunWhatIsDue();
-  flow->ClientLeft();  // told twice
+  flow->ClientLeft();  // a second notification
   CHECK(stand.asked()[0] + stand.asked()[1] == 1);
 }
 
-TEST_CASE("request flow: an answer or an end that comes when time is up is no second answer") {
+TEST_CASE("request flow: a response or an end after the deadline does not cause a second response") {
   Stand stand;
   std::shared_ptr<RequestFlow> flow;
   std::unique_ptr<tcp::socket> server;
@@ -289,21 +289,19 @@
     server = stand.Accept();
     REQUIRE(stand.Until([&] { return answered; }));
   }
-  SECTION("the server answers behind it") {
+  SECTION("the server responds after it") {
     boost::system::error_code ignored;
     asio::write(*server, asio::buffer(kLateAnswer), ignored);
     CHECK(stand.Ends(*server));
   }
-  SECTION("the end of the connection was noticed before, and is heard of behind it") {
-    flow->OnEnd(AttemptEnd::kBroken);
-  }
-  SECTION("a verdict on its quota comes behind it") { flow->QuotaDecided(true, 0); }
-  SECTION("its client leaves behind it") { flow->ClientLeft(); }
+  SECTION("the connection ended before it, but is reported after it") { flow->OnEnd(AttemptEnd::kBroken); }
+  SECTION("the quota verdict arrives after it") { flow->QuotaDecided(true, 0); }
+  SECTION("the client disconnects after it") { flow->ClientLeft(); }
   stand.RunWhatIsDue();
   CHECK(stand.asked()[0] + stand.asked()[1] == 1);
 }
 
-TEST_CASE("request flow: each server is asked once, also where all say that they did not run the request") {
+TEST_CASE("request flow: each server is tried once, also if all report that they did not run the request") {
   Stand stand;
   bool refused = false;
   REQUIRE_CALL(stand.responder(), Respond(503, _, _)).LR_SIDE_EFFECT(refused = true);
@@ -317,7 +315,7 @@
   CHECK(stand.asked() == std::array<int, kServers>{1, 1});
 }
 
-TEST_CASE("request flow: where all servers are cold a client is told when one may be warm") {
+TEST_CASE("request flow: if all servers are cold, Retry-After says when one may be warm") {
   Stand stand;
   stand.TurnCold(3000);
   double retry_s = 0;
@@ -332,8 +330,9 @@
   CHECK(retry_s < 4.5);
 }
 
-// Each was held for 200 ms or more, and then refused, while a router was cut off from what grants quota.
-TEST_CASE("request flow: a request is held for its quota for less than a quarter of its aim") {
+// While a router was cut off from the machine that grants quota, it held each request for 200 ms or more
+// and then refused it.
+TEST_CASE("request flow: a request waits for quota for less than a quarter of its target latency") {
   Stand stand;
   stand.LimitTenant();
   FORBID_CALL(stand.responder(), Respond(_, _, _));
@@ -348,8 +347,8 @@
   CHECK(*end_ms < heard_ms + 0.25 * kAimMs);
 }
 
-// A request waited for a dial at each server behind a cut in turn, until it was refused.
-TEST_CASE("request flow: a request leaves a zone in which two servers are silent, whatever its kind") {
+// A request waited for a dial time-out at each server behind a network partition in turn, and was refused.
+TEST_CASE("request flow: after two silent servers in a zone, a request of any kind goes to another zone") {
   Stand stand;
   stand.AddServersBehindCut(3);
   bool answered = false;
@@ -361,9 +360,9 @@
   CHECK(stand.dialed() == 3);
 }
 
-// A client got an event that no server's run had made: the torn one of a first attempt, joined to the
-// second's.
-TEST_CASE("request flow: a first event that is torn is not put before the next server's events") {
+// A client received an event that no server had sent: the truncated event of the first attempt, joined to the
+// events of the second.
+TEST_CASE("request flow: a truncated first event is not prepended to the next server's events") {
   Stand stand;
   ALLOW_CALL(stand.responder(), Unsent()).RETURN(0u);
   std::string passed;
@@ -381,14 +380,14 @@
   CHECK(passed == "id: 0\ndata: whole\n\n");
 }
 
-// A client got half an event as the last one of a stream that looked complete.
+// A client received half an event at the end of a stream that looked complete.
 TEST_CASE("request flow: a stream without a length that ends inside an event is not complete") {
   Stand stand;
   ALLOW_CALL(stand.responder(), Unsent()).RETURN(0u);
   std::string passed;
   ALLOW_CALL(stand.responder(), BeginStream(200, _));
   ALLOW_CALL(stand.responder(), Piece(_)).LR_SIDE_EFFECT(passed += _1);
-  SECTION("it goes on at another server where that is allowed") {
+  SECTION("it resumes at another server if that is allowed") {
     bool ended = false;
     REQUIRE_CALL(stand.responder(), EndStream()).LR_SIDE_EFFECT(ended = true);
     const auto flow = stand.Ask("/again/1", 4000);
@@ -400,7 +399,7 @@
     REQUIRE(stand.Until([&] { return ended; }));
     CHECK(passed == "id: 0\ndata: a\n\nid: 1\ndata: b\n\n");
   }
-  SECTION("it breaks off where not") {
+  SECTION("it is aborted if not") {
     bool broke = false;
     REQUIRE_CALL(stand.responder(), BreakOff()).LR_SIDE_EFFECT(broke = true);
     const auto flow = stand.Ask("/stream/1", 4000);
@@ -412,8 +411,8 @@
   }
 }
 
-// Events whose lines end with CRLF or CR were kept until the end of their stream, and could not be resumed.
-TEST_CASE("request flow: events pass as they come, whatever their lines end with") {
+// Events with CRLF or CR line ends were held back until the end of the stream, and could not be resumed.
+TEST_CASE("request flow: events are forwarded as they arrive, with any kind of line end") {
   const std::string end = GENERATE("\n", "\r\n", "\r");
   Stand stand;
   ALLOW_CALL(stand.responder(), Unsent()).RETURN(0u);
@@ -437,10 +436,9 @@
   CHECK(passed == first_event + second_event);
 }
 
-// A client got events twice: the server that continued its stream began behind the last id, and events
-// without an id of their own had passed since.
-TEST_CASE(
-    "request flow: a stream breaks off where no server could go on exactly behind what its client has") {
+// A client received events twice: the server that resumed its stream continued after the last id, but events
+// without an id had been forwarded since.
+TEST_CASE("request flow: a stream is aborted if it cannot be resumed exactly after what its client has") {
   Stand stand;
   ALLOW_CALL(stand.responder(), Unsent()).RETURN(0u);
   std::string passed;
@@ -457,8 +455,8 @@
   CHECK_FALSE(stand.IsAsked());
 }
 
-// A client got events twice: a server that was to continue its stream began it anew.
-TEST_CASE("request flow: a server that begins a stream anew in place of continuing it is not listened to") {
+// A client received events twice: a server that should have resumed its stream restarted it.
+TEST_CASE("request flow: events of a server that restarts a stream instead of resuming it are rejected") {
   Stand stand;
   ALLOW_CALL(stand.responder(), Unsent()).RETURN(0u);
   std::string passed;
@@ -476,8 +474,8 @@
   CHECK(passed == "id: 0\ndata: a\n\nid: 1\ndata: b\n\n");
 }
 
-// One broken stream for which no server was left took all that the router may repeat in the next seconds.
-TEST_CASE("request flow: a stream that no server is left for does not use up what others may repeat") {
+// One broken stream for which no server was left used up the router's retry budget for the next seconds.
+TEST_CASE("request flow: a stream without remaining servers does not use up the retry budget") {
   Stand stand;
   ALLOW_CALL(stand.responder(), Unsent()).RETURN(0u);
   bool broke = false;
--- a/tests/router/upstream_test.cpp
+++ b/tests/router/upstream_test.cpp
@@ -1,5 +1,5 @@
-// Attempts on real sockets, with each crossing of two events forced by a server that follows a script
-// (docs/design/control-review.md has the table of crossings).
+// Tests of attempts on real sockets. A scripted server forces each race between two events;
+// docs/design/control-review.md lists the races.
 #include "router/upstream.h"
 
 #include <sys/socket.h>
@@ -19,11 +19,11 @@
 
 constexpr auto kPatience = std::chrono::seconds(10);
 
-// One connection as the server sees it, with calls that block.
+// The server's end of one connection, with blocking calls.
 class ServerSide {
  public:
   explicit ServerSide(tcp::socket socket) : socket_(std::move(socket)) {}
-  // Until that many bytes have come in all; fewer if the connection ends.
+  // Reads until that many bytes were received in total; fewer if the connection ends.
   const std::string& ReadTo(std::size_t size) {
     while (in_.size() < size && ReadSome()) {
     }
@@ -66,6 +66,7 @@
   std::string in_;
 };
 
+// Records the response of an attempt.
 struct Attempt : AttemptHandler {
   std::string body;
   int status = 0;
@@ -79,6 +80,7 @@
   }
 };
 
+// Test environment: an Upstream and a scripted server on a thread of its own.
 class Stage {
  public:
   Stage() : acceptor_(server_io_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {}
@@ -89,7 +91,7 @@
     acceptor_.close(ignored);
   }
 
-  // What the server does, on a thread of its own.
+  // Runs the server's script on its thread.
   void Serve(std::function<void(Stage&)> script) {
     server_ = std::thread([this, script = std::move(script)] { script(*this); });
   }
@@ -98,7 +100,7 @@
     tcp::socket socket = acceptor_.accept(error);
     return ServerSide(std::move(socket));
   }
-  void ServerDone() { server_.join(); }  // it has to have ended by itself
+  void ServerDone() { server_.join(); }  // the script must end by itself
 
   std::shared_ptr<Attempt> Begin(const std::string& id, const std::string& body = "") {
     const auto attempt = std::make_shared<Attempt>();
@@ -108,7 +110,7 @@
   void Begin(const std::string& id, const std::shared_ptr<Attempt>& attempt) {
     connection_ = upstream_.Begin(Request(id, ""), attempt);
   }
-  // An attempt, run until it has ended.
+  // Starts an attempt and runs until it has ended.
   std::shared_ptr<Attempt> Play(const std::string& id, const std::string& body = "") {
     const auto attempt = Begin(id, body);
     Await(*attempt);
@@ -126,13 +128,13 @@
     io_.restart();
     io_.run_one_for(std::chrono::milliseconds(20));
   }
-  // All that is due now, and nothing that comes later.
+  // Runs the handlers that are ready now, and none that become ready later.
   void RunDue() {
     io_.restart();
     io_.poll();
   }
   Upstream& upstream() { return upstream_; }
-  std::promise<void> told;  // between test and server
+  std::promise<void> told;  // synchronizes test and server script
 
  private:
   AttemptRequest Request(const std::string& id, const std::string& body) {
@@ -158,7 +160,7 @@
          "\r\n" + extra + "\r\n" + body;
 }
 
-// Larger than what sockets hold, so that its write is under way until the server reads it.
+// Larger than the socket buffers, so that the write stays in progress until the server reads it.
 const std::string& LongBody() {
   static const std::string body(24 * 1024 * 1024, 'b');
   return body;
@@ -166,7 +168,7 @@
 
 }  // namespace
 
-TEST_CASE("upstream: a connection whose answer came whole carries the next request") {
+TEST_CASE("upstream: a connection is reused for the next request after a complete response") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -185,14 +187,14 @@
   stage.Cancel();
 }
 
-TEST_CASE("upstream: an early answer to a long body: the next request does not cut into the rest of it") {
+TEST_CASE("upstream: after an early response, the next request is not interleaved with the long body") {
   Stage stage;
   std::string first_connection;
   stage.Serve([&](Stage& s) {
     ServerSide server = s.Accept();
     server.ReadHead();
     server.Send(Answer("a", "early"));
-    ServerSide other = s.Accept();  // the next request has to come on a connection of its own
+    ServerSide other = s.Accept();  // the next request must use a new connection
     other.ReadHead();
     other.Send(Answer("b", "two", "Connection: close\r\n"));
     first_connection = server.ReadToEnd();  // the rest is read late
@@ -208,7 +210,7 @@
   CHECK(first_connection.find_first_not_of('b', head) == std::string::npos);
 }
 
-TEST_CASE("upstream: an early answer, and the server stops reading: the answer counts") {
+TEST_CASE("upstream: an early response counts although the server stops reading the request") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -223,7 +225,7 @@
   CHECK(first->body == "early");
 }
 
-TEST_CASE("upstream: a body whose server goes away while it is written ends the attempt once, as broken") {
+TEST_CASE("upstream: a server that resets while the body is written ends the attempt once, as broken") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -236,7 +238,7 @@
   CHECK(attempt->ends == 1);
 }
 
-TEST_CASE("upstream: a surplus answer before the own one, in the same packet, is dropped") {
+TEST_CASE("upstream: a surplus response before the expected one, in the same packet, is dropped") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -249,7 +251,7 @@
   stage.Cancel();
 }
 
-TEST_CASE("upstream: a surplus answer behind the own one, in the same packet, ends the connection") {
+TEST_CASE("upstream: a surplus response after the expected one, in the same packet, closes the connection") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -268,7 +270,8 @@
   stage.Cancel();
 }
 
-TEST_CASE("upstream: a surplus answer between two requests, seen or still unread, ends the connection") {
+TEST_CASE(
+    "upstream: a surplus response between two requests, noticed or still unread, closes the connection") {
   const bool seen = GENERATE(true, false);
   Stage stage;
   std::promise<void> sent;
@@ -294,7 +297,7 @@
   stage.Cancel();
 }
 
-TEST_CASE("upstream: a surplus answer that comes behind the next request is dropped") {
+TEST_CASE("upstream: a surplus response that arrives after the next request was sent is dropped") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -312,7 +315,7 @@
   stage.Cancel();
 }
 
-TEST_CASE("upstream: an answer that has lost its id belongs to nobody") {
+TEST_CASE("upstream: a response without a request id breaks the attempt") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -325,7 +328,7 @@
   CHECK(attempt->status == 0);
 }
 
-TEST_CASE("upstream: a reset on a kept connection, before and after the first byte, may have run") {
+TEST_CASE("upstream: a reset on a reused connection, before or after the first byte, ends as broken") {
   const bool after_first_byte = GENERATE(true, false);
   Stage stage;
   stage.Serve([=](Stage& s) {
@@ -340,10 +343,10 @@
   const auto first = stage.Play("a");
   const auto second = stage.Play("b");
   CHECK(second->end == AttemptEnd::kBroken);
-  CHECK(stage.upstream().figures().dialed == 1);  // it is not sent again from here
+  CHECK(stage.upstream().figures().dialed == 1);  // Upstream does not resend it
 }
 
-TEST_CASE("upstream: a server that closed an idle connection, unread so far, is dialed anew") {
+TEST_CASE("upstream: a new connection is made if the server closed the idle one, even if still unnoticed") {
   Stage stage;
   std::promise<void> closed;
   stage.Serve([&](Stage& s) {
@@ -361,14 +364,14 @@
   const auto first = stage.Play("a");
   stage.told.set_value();
   closed.get_future().wait();
-  const auto second = stage.Begin("b");  // nothing has run in between
+  const auto second = stage.Begin("b");  // no handler has run in between
   stage.Await(*second);
   CHECK(second->end == AttemptEnd::kComplete);
   CHECK(second->body == "two");
   stage.Cancel();
 }
 
-TEST_CASE("upstream: a half close behind the answer ends the connection, before the answer breaks it") {
+TEST_CASE("upstream: a half close after the response closes the connection; before it, the attempt breaks") {
   const bool before = GENERATE(true, false);
   Stage stage;
   stage.Serve([=](Stage& s) {
@@ -380,12 +383,12 @@
   });
   const auto attempt = stage.Play("a");
   CHECK(attempt->end == (before ? AttemptEnd::kBroken : AttemptEnd::kComplete));
-  // The end of the other half closes the connection here too, which the server sees.
+  // The half close makes this side close the connection as well, which ends the server's script.
   for (int i = 0; i < 50; ++i) stage.RunSome();
   stage.ServerDone();
 }
 
-TEST_CASE("upstream: silence ends by being given up, and nothing is called behind that") {
+TEST_CASE("upstream: an attempt on a silent server ends by Cancel, after which no handler is called") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -401,7 +404,7 @@
   CHECK(attempt->ends == 0);
 }
 
-TEST_CASE("upstream: an answer without a length ends with its connection, if it says so") {
+TEST_CASE("upstream: a response without a length ends with its connection if it announces the close") {
   const bool says_so = GENERATE(true, false);
   Stage stage;
   stage.Serve([=](Stage& s) {
@@ -415,7 +418,7 @@
   CHECK(attempt->end == (says_so ? AttemptEnd::kCompleteByClose : AttemptEnd::kBroken));
 }
 
-TEST_CASE("upstream: an answer without a length that is reset is not whole") {
+TEST_CASE("upstream: a response without a length is incomplete if the connection is reset") {
   Stage stage;
   std::promise<void> read;
   stage.Serve([&](Stage& s) {
@@ -432,7 +435,7 @@
   CHECK(attempt->end == AttemptEnd::kBroken);
 }
 
-TEST_CASE("upstream: interim answers are passed over") {
+TEST_CASE("upstream: interim responses are skipped") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -460,9 +463,8 @@
   CHECK(attempt->end == AttemptEnd::kUnreachable);
 }
 
-// A request that came once more under its id was answered with the late second answer to the first time.
-TEST_CASE(
-    "upstream: a request with the id of the one before does not take that one's second answer for its own") {
+// A request that was repeated with the same id received the late duplicate response to its first attempt.
+TEST_CASE("upstream: a request with the id of the previous one does not accept that one's late response") {
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
@@ -483,15 +485,14 @@
   stage.Cancel();
 }
 
-// A request was sent on a connection that was known to have ended or to bring what nobody had asked for, and
-// broke there.
-TEST_CASE("upstream: bytes behind a whole answer are not read into the next one") {
+// A request was sent on a connection that was already closed or had unsolicited data, and failed there.
+TEST_CASE("upstream: bytes after a complete response are not read as part of the next one") {
   constexpr std::size_t kReadAtOnce = 4096;
   Stage stage;
   stage.Serve([](Stage& s) {
     ServerSide server = s.Accept();
     server.ReadHead();
-    // The answer fills one read to the byte, so that what follows is still in the socket.
+    // The response fills exactly one read, so that the bytes after it are still in the socket.
     const std::size_t head = Answer("a", std::string(kReadAtOnce, 'x')).size() - kReadAtOnce;
     server.Send(Answer("a", std::string(kReadAtOnce - head, 'x')) + "no answer\r\n");
     ServerSide other = s.Accept();
@@ -499,7 +500,7 @@
     other.Send(Answer("b", "two"));
     other.ReadToEnd();
   });
-  // The next request is begun by a handler that was queued while the answer was read.
+  // A handler that was queued while the response was read starts the next request.
   struct Chained : Attempt {
     std::function<void()> when_over;
     void OnEnd(AttemptEnd how) override {
