--- a/src/router/request_flow.h
+++ b/src/router/request_flow.h
@@ -105,10 +105,13 @@
   void ForwardHead(const http::Message& head);
   void ForwardStreamEnd(Attempt& attempt);
   void ForwardResponse(const Attempt& attempt);
+  // Ends the request with 503 and, if `retry_ms` > 0, a randomized Retry-After. Responds with 502 if the
+  // request may have been executed and must not be repeated; aborts a stream that was started.
   void Refuse(double retry_ms, EndReason reason);
   void Respond(int status, std::string_view why, EndReason reason);
   void Abort(EndReason reason);
   void OnDeadline();
+  // Ends the request once: records the end and refunds the quota if the request was not executed.
   void Finish(EndReason reason);
   void RecordEnd(EndReason reason);
   double RemainingMs(double now_ms) const { return deadline_ms_ - now_ms; }
@@ -135,8 +138,9 @@
 
   std::optional<Attempt> attempt_;          // in progress
   std::vector<std::string> tried_servers_;  // servers that were already tried
+  // Attempts made, including rejected ones, and those of them that were or may have been executed.
   int attempt_count_ = 0, executions_ = 0;
-  bool may_have_run_ = false;
+  bool may_have_run_ = false;  // a server may have executed the request
 
   // What the client has received of the response, over all attempts.
   double first_event_ms_ = 0;    // since the start of the request; 0: no event yet
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -14,7 +14,7 @@
 constexpr auto kTickInterval = std::chrono::milliseconds(200);
 constexpr double kQuotaTickIntervalMs = 50;
 constexpr auto kLoadReportInterval = std::chrono::milliseconds(40);
-constexpr double kAllLoadsReportIntervalMs = 1000;  // between reports of all loads
+constexpr double kAllLoadsReportIntervalMs = 1000;  // between reports of all loads, changed or not
 constexpr double kQuotaLogIntervalMs = 4000;
 constexpr std::size_t kInitialRouterCount = 64;  // until the control machines report the number
 
@@ -179,8 +179,7 @@
   ScheduleQuotaTick();
 }
 
-// While requests wait, the ledger ticks every kQuotaTickIntervalMs, or sooner if the wait of a request ends
-// before.
+// While requests wait, the ledger ticks every kQuotaTickIntervalMs, or as soon as the wait of a request ends.
 void Router::ScheduleQuotaTick() {
   const std::optional<double> end_ms = state_.quota.NextEndMs();
   if (!end_ms) return;
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -45,10 +45,13 @@
   void ApplyServers();
   void SetRouterCount(std::size_t count);
   void UpdateReadiness();
+  // Sends the ledger's requests to the agent and hands its verdicts to the waiting requests.
   void ProcessQuota();
   void ScheduleQuotaTick();
   void LogQuotaFigures(double now_ms);
+  // Sends the servers' loads to the agent: all of them, or only those that changed.
   void SendLoads(bool all);
+  // Sends the changed loads after kLoadReportInterval, so that changes are batched.
   void ScheduleLoadReport();
   void Tick();
   void End();
@@ -57,8 +60,8 @@
   const fleet::NodeSettings settings_;
   EventSink& events_;
   RouterState state_;
-  Front front_;
-  Front readiness_;
+  Front front_;      // for clients
+  Front readiness_;  // for /readyz and /metrics
   fleet::FeedFollower follower_;
   EvacuatedZones evacuated_;
   std::shared_ptr<fleet::Dialer> agent_;
@@ -69,6 +72,7 @@
   double all_loads_sent_ms_ = 0;
   std::optional<double> quota_tick_due_ms_;
   double quota_logged_ms_ = 0;
+  // had_fresh_feed_: the agent has been in contact with the control machines at least once.
   bool ready_ = false, had_fresh_feed_ = false;
 };
 
