--- a/lab/virtual/sidecar.cpp
+++ b/lab/virtual/sidecar.cpp
@@ -123,7 +123,8 @@
   job.method = klass.repeat == model::Repeat::kSafe ? "GET" : "POST";
   job.klass = attempt.klass;
   // As the program has it: its time went on while nobody read it.
-  job.patience_ms = std::max(0.0, attempt.patience_ms - std::min(still_.UnreadFor(outside_.NowMs()), lay_ms));
+  job.patience_ms =
+      std::max(0.0, attempt.patience_ms - std::min(still_.MaxUnreadMs(outside_.NowMs()), lay_ms));
   job.work_hint_ms = attempt.hint_ms;
   ids_[attempt.id] = 0;
   const JobId taken =
--- a/lab/virtual/sidecar.h
+++ b/lab/virtual/sidecar.h
@@ -19,7 +19,7 @@
 #include "lab/virtual/outside.h"
 #include "lab/virtual/pool.h"
 #include "lab/virtual/watch.h"
-#include "standstill/standstill.h"
+#include "stall/stall_detector.h"
 
 namespace bitternmux::lab {
 
@@ -41,8 +41,8 @@
   void Reload();
   // It stands still from now on, and until LetGo nothing else is called. That gives true if the process finds
   // by itself that it stood still, and then reads first what discovery told.
-  void Froze() { still_ = Standstill(outside_.NowMs()); }
-  bool LetGo() { return still_.Woke(outside_.NowMs()); }
+  void Froze() { still_ = StallDetector(outside_.NowMs()); }
+  bool LetGo() { return still_.DetectStall(outside_.NowMs()); }
   // It ends, and nothing more is done: its connections close.
   void Drop();
 
@@ -73,7 +73,7 @@
   const double start_ms_;
   const std::function<void(const model::Listing&)> heard_list_;
   TimerWheel wheel_;
-  Standstill still_;  // asked only where it may have stood still: its turns are few
+  StallDetector still_;  // asked only where it may have stood still: its turns are few
   std::priority_queue<double, std::vector<double>, std::greater<>> due_;  // on the wheel, cancelled ones too
   Facade facade_;
   MachineList machines_;
--- a/src/cartspring/context.h
+++ b/src/cartspring/context.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "cartspring/balancer.h"
-#include "comeback/comeback.h"
+#include "startup/startup_tracker.h"
 
 namespace cartspring {
 
@@ -50,7 +50,7 @@
   Settings set;
   Random random;
   double now = 0;  // ms
-  Comeback comeback{set};
+  StartupTracker startup{set};
 
   // Of the classes that requests come of.
   int Hastiest() const {  // the one with the shortest aim, the first of those
--- a/src/cartspring/hosts.h
+++ b/src/cartspring/hosts.h
@@ -8,7 +8,7 @@
 #include "cartspring/check.h"
 #include "cartspring/records.h"
 #include "rows/named_rows.h"
-#include "subset/own_order.h"
+#include "subset/host_order.h"
 #include "subset/subset.h"
 
 namespace cartspring {
@@ -24,7 +24,7 @@
   Host& operator[](int row) { return rows_[row]; }
   const Host& operator[](int row) const { return rows_[row]; }
   int size() const { return rows_.size(); }
-  const OwnOrder& live() const { return live_; }  // rows of the live hosts
+  const HostOrder& live() const { return live_; }  // rows of the live hosts
 
   int RowOf(const std::string& name) const {
     const int row = rows_.Find(name);
@@ -35,7 +35,7 @@
   // A host that a whole list leaves out is gone, though nothing says so by name.
   void Take(const std::vector<HostEntry>& entries, bool whole) {
     for (Host& host : rows_) host.listed = !whole;
-    rows_.Sweep();
+    rows_.RescanFromStart();
     for (const HostEntry& entry : entries) Learn(entry);
     live_.Clear();
     double weight = 0;
@@ -46,7 +46,7 @@
       live_.Add(i, rows_[i].place, {entry.zone, entry.kind, entry.cell});
       weight += entry.weight;
     }
-    live_.Settle();
+    live_.Build();
     mean_weight_ = weight > 0 ? weight / static_cast<double>(live_.size()) : 1;
   }
 
@@ -76,15 +76,15 @@
     }
     host.entry = entry;
     host.listed = true;
-    if (!host.InUse()) rows_.Freed(host.row);
+    if (!host.InUse()) rows_.MarkFree(host.row);
     const double size = ctx_.set.weights_known && entry.weight > 0 ? entry.weight : 1;
-    host.place = subset_.PlaceOf(entry.host, size * (entry.zone == ctx_.set.own_zone ? kNear : 1));
+    host.place = subset_.SortKey(entry.host, size * (entry.zone == ctx_.set.own_zone ? kNear : 1));
   }
 
   const Context& ctx_;
   Subset subset_;
   NamedRows<Host> rows_;
-  OwnOrder live_;
+  HostOrder live_;
   double mean_weight_ = 1;
 };
 
--- a/src/cartspring/policy.h
+++ b/src/cartspring/policy.h
@@ -12,8 +12,8 @@
 
 #include "cartspring/attempts.h"
 #include "cartspring/walk.h"
-#include "pace/pace.h"
-#include "rows/spare_map.h"
+#include "pace/adaptive_throttle.h"
+#include "rows/recycling_map.h"
 
 namespace cartspring {
 
@@ -38,14 +38,14 @@
     Advance(now);
     hosts_.Take(entries, whole);
     const auto name_of = [&](int i) -> const std::string& { return hosts_[i].entry.host; };
-    ctx_.comeback.Told(ctx_.now, hosts_.live(), name_of, remembered);
+    ctx_.startup.ListReceived(ctx_.now, hosts_.live(), name_of, remembered);
     if (remembered && ctx_.set.must_subscribe) AskForList();
   }
 
   void OnDiscoveryRefused(double now) {
     Advance(now);
     if (!ctx_.set.must_subscribe) return;
-    sink_.SetTimer(ctx_.comeback.Refused(ctx_.now, ctx_.random.Unit()), kDiscoveryTimer);
+    sink_.SetTimer(ctx_.startup.CallFailed(ctx_.now, ctx_.random.Unit()), kDiscoveryTimer);
   }
 
   void OnRequest(double now, const Request& request) {
@@ -133,12 +133,12 @@
   }
 
   std::vector<StateChange> StateChanges(double now, std::uint64_t after) {
-    return ctx_.comeback.Changes(std::max(ctx_.now, now), after);
+    return ctx_.startup.Changes(std::max(ctx_.now, now), after);
   }
 
   void OnTimer(double now, std::uint64_t token) {
     Advance(now);
-    if (token == kDiscoveryTimer) return ctx_.comeback.Due(ctx_.now) ? AskForList() : void();
+    if (token == kDiscoveryTimer) return ctx_.startup.Due(ctx_.now) ? AskForList() : void();
     const RequestId id = token / kTimerKinds;
     const auto found = requests_.find(id);
     if (found == requests_.end() || found->second.begun) return;
@@ -149,7 +149,7 @@
       last.slow = last.pending && ctx_.now >= last.sent_at + admission_.SlowAfter(live) - kSettled &&
                   ctx_.now - hosts_[last.host].load_at < ctx_.ClassOf(live.request).deadline_ms &&
                   hosts_.Warmth(hosts_[last.host]) >= 1;
-      if (last.slow) pace_.Heard(/*late=*/true);
+      if (last.slow) pace_.RecordAnswer(/*late=*/true);
     } else if (token % kTimerKinds == kLateTimer) {
       Attempt& last = live.attempts.back();
       if (!last.pending || last.late || ctx_.now < last.late_at - kSettled) return;
@@ -170,7 +170,7 @@
 
   void AskForList() {
     sink_.Subscribe();
-    sink_.SetTimer(ctx_.comeback.Asked(ctx_.now, ctx_.random.Unit()), kDiscoveryTimer);
+    sink_.SetTimer(ctx_.startup.CallSent(ctx_.now, ctx_.random.Unit()), kDiscoveryTimer);
   }
 
   void Gather(RequestId id, Live& live) {
@@ -249,10 +249,10 @@
     if (heard || outcome == Outcome::kConnectFailed) host.unreached = !heard;
     switch (outcome) {
       case Outcome::kServed:
-        ctx_.comeback.Answered(ctx_.now, host.entry.host);
+        ctx_.startup.HostAnswered(ctx_.now, host.entry.host);
         reports_.Served(host);
         health_.Weigh(host, false);
-        if (!tried.slow && hosts_.Warmth(host) >= 1) pace_.Heard(took > admission_.SlowAfter(live));
+        if (!tried.slow && hosts_.Warmth(host) >= 1) pace_.RecordAnswer(took > admission_.SlowAfter(live));
         estimates_.LearnTypical(klass, took);
         return estimates_.LearnTime(klass, host, tried.figure, live.share, took);
       case Outcome::kTimeout:
@@ -306,8 +306,8 @@
   Reports reports_{ctx_, hosts_, estimates_, sink_};
   Walk walk_{ctx_, hosts_, estimates_, reports_};
   Admission admission_{ctx_, hosts_, estimates_};
-  Pace pace_{ctx_.Worths()};
-  SpareMap<RequestId, Live> requests_;
+  AdaptiveThrottle pace_{ctx_.Worths()};
+  RecyclingMap<RequestId, Live> requests_;
 };
 
 }  // namespace cartspring
--- a/src/cartspring/records.h
+++ b/src/cartspring/records.h
@@ -84,7 +84,7 @@
   bool MayHaveRun() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.may_have_run; });
   }
-  void Renew() {  // as if new, but for its memory
+  void Reset() {  // as if new, but for its memory
     Live fresh;
     const auto keep = [](auto& to, auto& from) {
       to.swap(from);
--- a/src/membership/list_calls.h
+++ b/src/membership/list_call_schedule.h
@@ -10,59 +10,59 @@
 //
 // Does no I/O, reads no clock and draws no chance. Times in ms, by the caller's clock; `chance`: uniform,
 // from 0 to below 1.
-#ifndef BITTERNMUX_SRC_MEMBERSHIP_LIST_CALLS_H_
-#define BITTERNMUX_SRC_MEMBERSHIP_LIST_CALLS_H_
+#ifndef BITTERNMUX_SRC_MEMBERSHIP_LIST_CALL_SCHEDULE_H_
+#define BITTERNMUX_SRC_MEMBERSHIP_LIST_CALL_SCHEDULE_H_
 
 #include <algorithm>
 
 namespace cartspring {
 
-class ListCalls {
+class ListCallSchedule {
  public:
-  static constexpr double kLongestMs = 5000, kFirstMs = 800;
+  static constexpr double kMaxCallIntervalMs = 5000, kMaxFirstRetryMs = 800;
 
   // `ask_within_ms`: a member must never go this long without asking. It is read at each call, so that new
   // settings count at once, and must outlive this.
-  explicit ListCalls(const double& ask_within_ms) : ask_within_ms_(ask_within_ms) {}
-  explicit ListCalls(const double&&) = delete;
+  explicit ListCallSchedule(const double& ask_within_ms) : ask_within_ms_(ask_within_ms) {}
+  explicit ListCallSchedule(const double&&) = delete;
 
   // A call goes out now. Until its answer comes, the next is due at the time returned: an answer that never
   // comes must not leave this member deaf. No sooner than most answers that are slow would have come.
-  double Asked(double now, double chance) {
-    asked_ = true;
-    return due_ = now + HalfMs() * (0.75 + 0.25 * chance);
+  double CallSent(double now, double chance) {
+    in_flight_ = true;
+    return next_call_ms_ = now + MaxWaitMs() * (0.75 + 0.25 * chance);
   }
   // The list, or a change of it, has come.
-  void Answered() {
-    if (!asked_) return;
-    asked_ = false;
+  void ListReceived() {
+    if (!in_flight_) return;
+    in_flight_ = false;
     subscribed_ = true;
     refusals_ = 0;
   }
   // The call failed, or the watch broke. When the next is due.
-  double Refused(double now, double chance) {
-    const double first = std::min(kFirstMs, HalfMs() / 4);
-    const double base = std::min(HalfMs(), first * (1 << std::min(refusals_, 4)));
+  double CallFailed(double now, double chance) {
+    const double first = std::min(kMaxFirstRetryMs, MaxWaitMs() / 4);
+    const double base = std::min(MaxWaitMs(), first * (1 << std::min(refusals_, 4)));
     ++refusals_;
     const double next = now + base * (0.5 + 0.5 * chance);
-    due_ = asked_ ? std::min(due_, next) : next;
-    subscribed_ = asked_ = false;
-    return due_;
+    next_call_ms_ = in_flight_ ? std::min(next_call_ms_, next) : next;
+    subscribed_ = in_flight_ = false;
+    return next_call_ms_;
   }
-  bool Due(double now) const { return !subscribed_ && now >= due_ - kSettledMs; }
+  bool Due(double now) const { return !subscribed_ && now >= next_call_ms_ - kTimeToleranceMs; }
 
  private:
-  static constexpr double kSettledMs = 1e-6;  // for comparing times
+  static constexpr double kTimeToleranceMs = 1e-6;  // for comparing times
 
-  double HalfMs() const { return std::min(kLongestMs, ask_within_ms_ / 2); }
+  double MaxWaitMs() const { return std::min(kMaxCallIntervalMs, ask_within_ms_ / 2); }
 
   const double& ask_within_ms_;
-  bool asked_ = false;
+  bool in_flight_ = false;
   bool subscribed_ = false;
   int refusals_ = 0;
-  double due_ = 0;
+  double next_call_ms_ = 0;
 };
 
 }  // namespace cartspring
 
-#endif  // BITTERNMUX_SRC_MEMBERSHIP_LIST_CALLS_H_
+#endif  // BITTERNMUX_SRC_MEMBERSHIP_LIST_CALL_SCHEDULE_H_
--- a/src/rows/named_rows.h
+++ b/src/rows/named_rows.h
@@ -40,8 +40,8 @@
     row.row = index_[name] = first_free_;
     return row;
   }
-  void Sweep() { first_free_ = 0; }
-  void Freed(int row) { first_free_ = std::min(first_free_, row); }
+  void RescanFromStart() { first_free_ = 0; }
+  void MarkFree(int row) { first_free_ = std::min(first_free_, row); }
 
  private:
   std::vector<Row> rows_;
--- a/src/rows/ranking.h
+++ b/src/rows/ranking.h
@@ -17,7 +17,7 @@
  public:
   void Clear() {
     items_.clear();
-    ranked_ = 0;
+    sorted_ = 0;
   }
   // Not once At was called, until Clear.
   void Add(const Item& item) { items_.push_back(item); }
@@ -26,15 +26,15 @@
   // The item with `rank` (below size()) others before it.
   const Item& At(std::size_t rank) {
     const auto after = [](const Item& a, const Item& b) { return b < a; };
-    if (ranked_ == 0) std::make_heap(items_.begin(), items_.end(), after);
-    for (; ranked_ <= rank; ++ranked_)  // to the back, behind what is not ranked yet
-      std::pop_heap(items_.begin(), items_.end() - static_cast<std::ptrdiff_t>(ranked_), after);
+    if (sorted_ == 0) std::make_heap(items_.begin(), items_.end(), after);
+    for (; sorted_ <= rank; ++sorted_)  // to the back, behind what is not ranked yet
+      std::pop_heap(items_.begin(), items_.end() - static_cast<std::ptrdiff_t>(sorted_), after);
     return items_[items_.size() - 1 - rank];
   }
 
  private:
   std::vector<Item> items_;
-  std::size_t ranked_ = 0;
+  std::size_t sorted_ = 0;
 };
 
 }  // namespace cartspring
--- a/src/rows/row_set.h
+++ b/src/rows/row_set.h
@@ -28,20 +28,20 @@
   }
 
   // Takes out the rows of which `over` is true.
-  template <class Over>
-  void EraseIf(const Over& over) {
+  template <class Predicate>
+  void EraseIf(const Predicate& predicate) {
     std::erase_if(rows_, [&](int row) {
-      const bool out = over(row);
+      const bool out = predicate(row);
       if (out) in_[static_cast<std::size_t>(row)] = false;
       return out;
     });
   }
 
   // How many rows of the set, and of `more` beside it (no row twice), `holds` is true of.
-  template <class Holds>
-  std::ptrdiff_t CountIf(const Holds& holds, const std::vector<int>& more = {}) const {
-    return std::ranges::count_if(rows_, holds) +
-           std::ranges::count_if(more, [&](int row) { return !Has(row) && holds(row); });
+  template <class Predicate>
+  std::ptrdiff_t CountIf(const Predicate& predicate, const std::vector<int>& more = {}) const {
+    return std::ranges::count_if(rows_, predicate) +
+           std::ranges::count_if(more, [&](int row) { return !Has(row) && predicate(row); });
   }
 
  private:
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -27,7 +27,7 @@
 #include "net/runtime.h"
 #include "net/submitter_server.h"
 #include "sidecar/starts_file.h"
-#include "standstill/standstill.h"
+#include "stall/stall_detector.h"
 
 namespace bitternmux {
 namespace {
@@ -36,7 +36,7 @@
 
 constexpr double kTickMs = 2;
 // The wheel is turned when something is due, and at least this often: what is polled at each turn (the state,
-// the log's rest) waits no longer, and Standstill tells a sleep from a standstill.
+// the log's rest) waits no longer, and StallDetector tells a sleep from a standstill.
 constexpr double kLongestSleepMs = 50;
 constexpr int kOtherDescriptors = 24;  // standard streams, listener, watch, reactor, and some to spare
 // Submitters hold a third of the descriptors for requests at most, and more for nothing; each request takes
@@ -130,7 +130,7 @@
                  wheel_,
                  log,
                  [this] { Mind(); },
-                 [this] { return still_.UnreadFor(NowMs()); }},
+                 [this] { return still_.MaxUnreadMs(NowMs()); }},
         settings_(config_.settings),
         facade_(settings_, config_.seed),
         machines_(settings_),
@@ -254,7 +254,7 @@
       if (change.state == cartspring::ServiceState::kFull) starts_.Full();
     }
     if (forgotten_ || state_.state != cartspring::ServiceState::kFull) return;
-    forgotten_ = NowMs() >= state_.at_ms + static_cast<double>(Starts::kForgetMs);
+    forgotten_ = NowMs() >= state_.at_ms + static_cast<double>(StartHistory::kResetAfterFullMs);
     if (forgotten_) starts_.Forget();
   }
 
@@ -262,8 +262,8 @@
   // before what ran out of time. So does that submitters have gone: a claim that waits for its connection
   // would else be written as that comes up.
   void Mind() {
-    if (!still_.Woke(NowMs())) return;
-    log_.Write(events::kStoodStill, {{"ms", static_cast<std::int64_t>(still_.lasted_ms())}});
+    if (!still_.DetectStall(NowMs())) return;
+    log_.Write(events::kStoodStill, {{"ms", static_cast<std::int64_t>(still_.last_stall_ms())}});
     watch_.CatchUp();
     server_.CatchUp();
   }
@@ -363,7 +363,7 @@
   asio::io_context& io_;
   WakeTimes wakes_;
   TimerWheel wheel_;
-  Standstill still_;
+  StallDetector still_;
   net::Runtime runtime_;
   cartspring::Settings settings_;  // in use; every part sees it as it is now
   Facade facade_;
--- a/src/sidecar/starts_file.cpp
+++ b/src/sidecar/starts_file.cpp
@@ -31,7 +31,7 @@
   began_ = std::chrono::duration_cast<std::chrono::milliseconds>(
                std::chrono::system_clock::now().time_since_epoch())
                .count();
-  Starts starts = Load();
+  StartHistory starts = Load();
   const std::int64_t held_ms = starts.Begin(began_);
   failed_ = starts.failed();
   Keep(starts);
@@ -39,40 +39,40 @@
 }
 
 void StartsFile::Full() {
-  Starts starts = Load();
+  StartHistory starts = Load();
   starts.Full(began_);
   Keep(starts);
 }
 
 void StartsFile::Forget() {
-  Starts starts = Load();
+  StartHistory starts = Load();
   starts.Forget(began_);
   Keep(starts);
 }
 
 void StartsFile::Stopped() {
-  Starts starts = Load();
+  StartHistory starts = Load();
   starts.Stopped(began_);
   Keep(starts);
 }
 
-Starts StartsFile::Load() {
+StartHistory StartsFile::Load() {
   std::error_code error;
   if (path_.empty() || !std::filesystem::exists(path_, error)) return {};
   const bool ours =
       std::filesystem::is_regular_file(path_, error) && std::filesystem::file_size(path_, error) <= kLongest;
   const auto text = ours ? ReadTextFile(path_) : std::nullopt;
-  if (!text) return Tell("cannot be read"), Starts();
-  const auto starts = Starts::Read(*text);
+  if (!text) return Tell("cannot be read"), StartHistory();
+  const auto starts = StartHistory::Parse(*text);
   if (!starts) Tell("torn, or not ours");
-  return starts.value_or(Starts());
+  return starts.value_or(StartHistory());
 }
 
-void StartsFile::Keep(const Starts& starts) {
+void StartsFile::Keep(const StartHistory& starts) {
   if (path_.empty()) return;
   const std::string next = path_ + ".next";
   std::ofstream out(next, std::ios::trunc);
-  const bool written = static_cast<bool>(out << starts.Text() << std::flush);
+  const bool written = static_cast<bool>(out << starts.Serialize() << std::flush);
   out.close();
   if (!written || std::rename(next.c_str(), path_.c_str()) != 0) Tell("cannot be written");
 }
--- a/src/sidecar/starts_file.h
+++ b/src/sidecar/starts_file.h
@@ -5,8 +5,8 @@
 #include <cstdint>
 #include <string>
 
-#include "comeback/starts.h"
 #include "events/event.h"
+#include "startup/start_history.h"
 
 namespace bitternmux {
 
@@ -19,14 +19,14 @@
   // This process begins. How long it is to hold back, in ms.
   std::int64_t Begin();
   std::size_t failed() const { return failed_; }  // starts before it, as of Begin
-  // As Starts has them, of the start that Begin told. Another process may have started here since.
+  // As StartHistory has them, of the start that Begin told. Another process may have started here since.
   void Full();
   void Forget();
   void Stopped();
 
  private:
-  Starts Load();
-  void Keep(const Starts& starts);
+  StartHistory Load();
+  void Keep(const StartHistory& starts);
   void Tell(const char* why);
 
   const std::string path_;  // empty: none
--- a/src/comeback/starts.cpp
+++ b/src/startup/start_history.cpp
@@ -1,4 +1,4 @@
-#include "comeback/starts.h"
+#include "startup/start_history.h"
 
 #include <algorithm>
 #include <charconv>
@@ -20,12 +20,12 @@
 
 }  // namespace
 
-std::optional<Starts> Starts::Read(std::string_view text) {
+std::optional<StartHistory> StartHistory::Parse(std::string_view text) {
   if (TakeLine(text) != kHead) return std::nullopt;
-  Starts out;
+  StartHistory out;
   while (const auto line = TakeLine(text)) {
     if (*line == kEnd) return text.empty() ? std::optional(out) : std::nullopt;
-    if (out.starts_.size() == kMost) return std::nullopt;
+    if (out.starts_.size() == kMaxStarts) return std::nullopt;
     Start start;
     const auto [end, error] = std::from_chars(line->data(), line->data() + line->size(), start.unix_ms);
     const std::string_view word(end, static_cast<std::size_t>(line->data() + line->size() - end));
@@ -36,33 +36,33 @@
   return std::nullopt;  // torn
 }
 
-std::string Starts::Text() const {
+std::string StartHistory::Serialize() const {
   std::string out(kHead);
   for (const Start& start : starts_)
     out.append("\n").append(std::to_string(start.unix_ms)).append(start.full ? kFull : kStarted);
   return out.append("\n").append(kEnd).append("\n");
 }
 
-std::int64_t Starts::Begin(std::int64_t unix_ms) {
+std::int64_t StartHistory::Begin(std::int64_t unix_ms) {
   std::erase_if(starts_, [&](const Start& start) {
-    return start.unix_ms > unix_ms || start.unix_ms < unix_ms - kAgeMs;
+    return start.unix_ms > unix_ms || start.unix_ms < unix_ms - kMaxAgeMs;
   });
   failed_ = static_cast<std::size_t>(std::ranges::count(starts_, false, &Start::full));
-  if (starts_.size() == kMost) starts_.erase(starts_.begin());
+  if (starts_.size() == kMaxStarts) starts_.erase(starts_.begin());
   starts_.push_back({unix_ms, false});
-  if (failed_ <= kFree) return 0;
-  return std::min(kMostMs, kFirstMs << (failed_ - kFree - 1));
+  if (failed_ <= kFreeFailures) return 0;
+  return std::min(kMaxDelayMs, kFirstDelayMs << (failed_ - kFreeFailures - 1));
 }
 
-void Starts::Full(std::int64_t began) {
+void StartHistory::Full(std::int64_t began) {
   for (Start& start : starts_) start.full |= start.unix_ms == began;
 }
 
-void Starts::Forget(std::int64_t began) {
+void StartHistory::Forget(std::int64_t began) {
   std::erase_if(starts_, [&](const Start& start) { return start.unix_ms <= began; });
 }
 
-void Starts::Stopped(std::int64_t began) {
+void StartHistory::Stopped(std::int64_t began) {
   std::erase_if(starts_, [&](const Start& start) { return start.unix_ms == began; });
 }
 
--- a/src/comeback/starts.h
+++ b/src/startup/start_history.h
@@ -8,8 +8,8 @@
 // out.
 //
 // Does no I/O and reads no clock. Unix times in ms. State: kMost starts, the oldest is forgotten first.
-#ifndef BITTERNMUX_SRC_COMEBACK_STARTS_H_
-#define BITTERNMUX_SRC_COMEBACK_STARTS_H_
+#ifndef BITTERNMUX_SRC_STARTUP_START_HISTORY_H_
+#define BITTERNMUX_SRC_STARTUP_START_HISTORY_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -20,14 +20,15 @@
 
 namespace bitternmux {
 
-class Starts {
+class StartHistory {
  public:
-  static constexpr std::size_t kMost = 16, kFree = 2;
-  static constexpr std::int64_t kFirstMs = 500, kMostMs = 16'000, kForgetMs = 60'000, kAgeMs = 600'000;
+  static constexpr std::size_t kMaxStarts = 16, kFreeFailures = 2;
+  static constexpr std::int64_t kFirstDelayMs = 500, kMaxDelayMs = 16'000, kResetAfterFullMs = 60'000,
+                                kMaxAgeMs = 600'000;
 
   // What Text gave before; none where it is anything else.
-  static std::optional<Starts> Read(std::string_view text);
-  std::string Text() const;
+  static std::optional<StartHistory> Parse(std::string_view text);
+  std::string Serialize() const;
 
   // This life begins. How long it is to hold back, in ms.
   std::int64_t Begin(std::int64_t unix_ms);
@@ -52,4 +53,4 @@
 
 }  // namespace bitternmux
 
-#endif  // BITTERNMUX_SRC_COMEBACK_STARTS_H_
+#endif  // BITTERNMUX_SRC_STARTUP_START_HISTORY_H_
--- a/src/subset/own_order.h
+++ b/src/subset/host_order.h
@@ -2,8 +2,8 @@
 // a look at those behind it.
 //
 // Bound: one entry for each host. Does no I/O, reads no clock and draws no chance.
-#ifndef BITTERNMUX_SRC_SUBSET_OWN_ORDER_H_
-#define BITTERNMUX_SRC_SUBSET_OWN_ORDER_H_
+#ifndef BITTERNMUX_SRC_SUBSET_HOST_ORDER_H_
+#define BITTERNMUX_SRC_SUBSET_HOST_ORDER_H_
 
 #include <algorithm>
 #include <array>
@@ -13,7 +13,7 @@
 
 namespace cartspring {
 
-class OwnOrder {
+class HostOrder {
  public:
   static constexpr std::size_t kTraits = 3;
   using Traits = std::array<int, kTraits>;  // what can take hosts away together: zone, kind, cell
@@ -23,14 +23,14 @@
     rows_.clear();
   }
   // `place`: Subset::PlaceOf. The order holds once all are added and Settle was called.
-  void Add(int row, double place, const Traits& traits) { hosts_.push_back({place, row, traits, {}}); }
-  void Settle() {
-    std::ranges::sort(hosts_, {}, [](const Entry& host) { return std::pair(host.place, host.row); });
+  void Add(int row, double sort_key, const Traits& traits) { hosts_.push_back({sort_key, row, traits, {}}); }
+  void Build() {
+    std::ranges::sort(hosts_, {}, [](const Entry& host) { return std::pair(host.sort_key, host.row); });
     for (std::size_t at = hosts_.size(); at-- > 0;) {
       Entry& host = hosts_[at];
       for (std::size_t t = 0; t < kTraits; ++t) {
         const bool alike = at + 1 < hosts_.size() && hosts_[at + 1].traits[t] == host.traits[t];
-        host.other[t] = alike ? hosts_[at + 1].other[t] : at + 1;
+        host.next_different[t] = alike ? hosts_[at + 1].next_different[t] : at + 1;
       }
     }
     for (const Entry& host : hosts_) rows_.push_back(host.row);
@@ -69,7 +69,7 @@
       while (next < hosts_.size()) {
         const Entry& host = hosts_[next];
         if (host.traits[t] == first->traits[t]) {
-          next = host.other[t];
+          next = host.next_different[t];
         } else if (fits(host.row) && counts(host.row)) {
           take(host, true);
           break;
@@ -83,10 +83,10 @@
 
  private:
   struct Entry {
-    double place;
+    double sort_key;
     int row;
     Traits traits;
-    std::array<std::size_t, kTraits> other;  // the next place where the trait is another, or the end
+    std::array<std::size_t, kTraits> next_different;  // the next place where the trait is another, or the end
   };
   std::vector<Entry> hosts_;
   std::vector<int> rows_;  // the same, rows alone
@@ -94,4 +94,4 @@
 
 }  // namespace cartspring
 
-#endif  // BITTERNMUX_SRC_SUBSET_OWN_ORDER_H_
+#endif  // BITTERNMUX_SRC_SUBSET_HOST_ORDER_H_
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -26,7 +26,7 @@
 
   // A host's place in the own order, the least comes first: an exponential draw of the instance's and the
   // host's own, so that each host is before another as often as their shares (above 0) have it.
-  double PlaceOf(const std::string& host, double share) const {
+  double SortKey(const std::string& host, double share) const {
     const std::uint64_t drawn = Mix(seed_ ^ Mix(std::hash<std::string>()(host)));
     return -std::log((static_cast<double>(drawn >> 11) + 0.5) * 0x1p-53) / share;
   }
@@ -34,12 +34,12 @@
   // How many hosts an instance ranks: a few, but no fewer than let each host be ranked by a few instances.
   // A small tier ranks all, a larger one less the larger it is.
   static std::size_t SizeFor(std::size_t hosts, int instances) {
-    const double shared = kFew * static_cast<double>(hosts) / std::max(1, instances);
-    return std::min(hosts, static_cast<std::size_t>(std::ceil(std::max(kFew, shared))));
+    const double shared = kMinInstancesPerHost * static_cast<double>(hosts) / std::max(1, instances);
+    return std::min(hosts, static_cast<std::size_t>(std::ceil(std::max(kMinInstancesPerHost, shared))));
   }
 
  private:
-  static constexpr double kFew = 3;
+  static constexpr double kMinInstancesPerHost = 3;
 
   static std::uint64_t Mix(std::uint64_t z) {
     z = (z ^ (z >> 33)) * 0xff51afd7ed558ccdu;
--- a/tests/membership/list_calls_test.cpp
+++ b/tests/membership/list_call_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "membership/list_calls.h"
+#include "membership/list_call_schedule.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -10,15 +10,15 @@
 
 TEST_CASE("a call that is never answered is made again within half the time that is allowed") {
   double within = 10000;
-  ListCalls calls(within);
-  const double due = calls.Asked(1000, 0.5);
+  ListCallSchedule calls(within);
+  const double due = calls.CallSent(1000, 0.5);
   CHECK(due == 1000 + 5000 * 0.875);
   CHECK_FALSE(calls.Due(due - 1));
   CHECK(calls.Due(due));
-  calls.Answered();
+  calls.ListReceived();
   CHECK_FALSE(calls.Due(due));
   within = 4000;  // by new settings
-  CHECK(calls.Asked(1000, 0.999) <= 3000);
+  CHECK(calls.CallSent(1000, 0.999) <= 3000);
 }
 
 TEST_CASE("a hundred members that have asked together and hear nothing ask again spread out, and in time") {
@@ -26,7 +26,7 @@
   std::uniform_real_distribution<double> unit(0, 1);
   std::vector<double> due;
   const double within = 10000;
-  for (int i = 0; i < 100; ++i) due.push_back(ListCalls(within).Asked(0, unit(draw)));
+  for (int i = 0; i < 100; ++i) due.push_back(ListCallSchedule(within).CallSent(0, unit(draw)));
   std::sort(due.begin(), due.end());
   CHECK(due.back() <= 5000);
   std::ptrdiff_t peak = 0;  // in any 100 ms
@@ -41,13 +41,13 @@
   std::mt19937 draw(1);
   std::uniform_real_distribution<double> unit(0, 1);
   const double within = 10000;
-  std::vector<ListCalls> members(100, ListCalls(within));
+  std::vector<ListCallSchedule> members(100, ListCallSchedule(within));
   double longest_before = 0;
   for (int refusal = 0; refusal < 3; ++refusal) {
     std::vector<double> due;
-    for (ListCalls& member : members) {
-      member.Asked(0, unit(draw));
-      due.push_back(member.Refused(0, unit(draw)));
+    for (ListCallSchedule& member : members) {
+      member.CallSent(0, unit(draw));
+      due.push_back(member.CallFailed(0, unit(draw)));
     }
     std::sort(due.begin(), due.end());
     CHECK(due.back() <= 5000);
@@ -68,21 +68,21 @@
   std::uniform_real_distribution<double> unit(0, 1);
   const double within = GENERATE(500.0, 4000.0, 10'000.0, 12'000.0, 60'000.0, 3'600'000.0);
   for (int life = 0; life < 200; ++life) {
-    ListCalls calls(within);
+    ListCallSchedule calls(within);
     double now = 1000;
     for (int call = 0; call < 40; ++call) {
       const double asked = now;
-      double due = calls.Asked(now, unit(draw));
+      double due = calls.CallSent(now, unit(draw));
       const int became =
           static_cast<int>(unit(draw) * 4);  // no answer; refused; given up; a watch that breaks
-      if (became == 1) due = calls.Refused(now, unit(draw));
-      if (became == 2) due = calls.Refused(now += std::min(due - now, 4000 * unit(draw)), unit(draw));
-      CHECK(due <= asked + ListCalls::kLongestMs);
+      if (became == 1) due = calls.CallFailed(now, unit(draw));
+      if (became == 2) due = calls.CallFailed(now += std::min(due - now, 4000 * unit(draw)), unit(draw));
+      CHECK(due <= asked + ListCallSchedule::kMaxCallIntervalMs);
       if (became == 3) {
-        calls.Answered();
+        calls.ListReceived();
         now += 100'000 * unit(draw);
-        due = calls.Refused(now, unit(draw));
-        CHECK(due <= now + ListCalls::kFirstMs);
+        due = calls.CallFailed(now, unit(draw));
+        CHECK(due <= now + ListCallSchedule::kMaxFirstRetryMs);
       }
       CHECK(due >= now);
       CHECK(calls.Due(due));
--- /dev/null
+++ b/tests/pace/adaptive_throttle_test.cpp
@@ -0,0 +1,91 @@
+#include "pace/adaptive_throttle.h"
+
+#include <catch2/catch.hpp>
+#include <random>
+#include <vector>
+
+namespace cartspring {
+namespace {
+
+double AdmittedShare(AdaptiveThrottle& pace, int klass) {
+  int admitted = 0;
+  for (int i = 0; i < 300; ++i) {
+    // The classes come in turn, so that each is a third of what comes.
+    for (int k = 0; k < 3; ++k) {
+      const bool in = pace.Admits(k, (i + 0.5) / 300);
+      if (k == klass) admitted += in;
+    }
+  }
+  return admitted / 300.0;
+}
+
+TEST_CASE("a member that sees no late answers takes all on") {
+  AdaptiveThrottle pace({2, 8, 5});
+  for (int i = 0; i < 100; ++i) pace.RecordAnswer(false);
+  for (int k = 0; k < 3; ++k) CHECK(AdmittedShare(pace, k) == 1);
+}
+
+TEST_CASE("some slow hosts among many close nothing, many late answers do, and it opens again by itself") {
+  AdaptiveThrottle pace({2, 8, 5});
+  for (int i = 0; i < 400; ++i) pace.RecordAnswer(i % 5 == 0);
+  CHECK(pace.admitted_share() > 0.7);
+  for (int i = 0; i < 20; ++i) pace.RecordAnswer(true);
+  CHECK(pace.admitted_share() < 0.1);
+  CHECK(pace.admitted_share() > 0);  // or nothing would ever be measured again
+  for (int i = 0; i < 12; ++i) pace.RecordAnswer(false);
+  CHECK(pace.admitted_share() == 1);
+}
+
+TEST_CASE("the cheapest class is shed first and the dearest last, and none is starved for another") {
+  AdaptiveThrottle pace({2, 8, 5});
+  while (pace.admitted_share() > 0.55) pace.RecordAnswer(true);  // 0.51: one class and a half
+  const double admitted_share = pace.admitted_share(), cheapest = AdmittedShare(pace, 0),
+               dearest = AdmittedShare(pace, 1), between = AdmittedShare(pace, 2);
+  CHECK(cheapest + dearest + between == Approx(3 * admitted_share).margin(0.1));  // it is the same in all
+  CHECK(cheapest == Approx(0.7 * admitted_share).margin(0.05));
+  CHECK(dearest > 1.5 * admitted_share);
+  CHECK(between >= cheapest - 0.05);
+  while (pace.admitted_share() < 0.9)
+    pace.RecordAnswer(false);  // there is room for all but a part of the cheapest
+  CHECK(AdmittedShare(pace, 1) == 1);
+  CHECK(AdmittedShare(pace, 2) == 1);
+  CHECK(AdmittedShare(pace, 0) > 0.7 * pace.admitted_share() - 0.05);
+}
+
+// Hosts serve 600 requests in a second, a hundred members bring 1,500 together. Each hears of its own few
+// alone, and late: when what waits has passed through.
+TEST_CASE("a hundred members in step settle near what the hosts can do, and none of it waits for long") {
+  constexpr int kMembers = 100, kSteps = 600;
+  constexpr double kServed = 6, kOffered = 15, kLateAt = 18;  // in steps of 10 ms
+  std::vector<AdaptiveThrottle> members(kMembers, AdaptiveThrottle({1}));
+  std::mt19937 draw(1);
+  std::uniform_real_distribution<double> unit(0, 1);
+  double waiting = 0, served = 0, longest = 0;
+  std::vector<std::vector<int>> late(kSteps + 200);  // members that hear a late answer in that step
+  std::vector<std::vector<int>> good(kSteps + 200);
+  for (int step = 0; step < kSteps; ++step) {
+    for (AdaptiveThrottle& member : members) {
+      if (unit(draw) >= kOffered / kMembers || !member.Admits(0, unit(draw))) continue;
+      waiting += 1;
+      const int at = step + 1 + static_cast<int>(waiting / kServed);
+      auto& notified = waiting > kLateAt ? late[static_cast<std::size_t>(std::min(at, step + 3))]
+                                         : good[static_cast<std::size_t>(at)];
+      notified.push_back(static_cast<int>(&member - members.data()));
+    }
+    const double now_served = std::min(waiting, kServed);
+    waiting -= now_served;
+    if (step >= kSteps / 2) {
+      served += now_served;
+      longest = std::max(longest, waiting);
+    }
+    for (const int at : late[static_cast<std::size_t>(step)])
+      members[static_cast<std::size_t>(at)].RecordAnswer(true);
+    for (const int at : good[static_cast<std::size_t>(step)])
+      members[static_cast<std::size_t>(at)].RecordAnswer(false);
+  }
+  CHECK(served > 0.8 * kServed * kSteps / 2);
+  CHECK(longest < 4 * kLateAt);
+}
+
+}  // namespace
+}  // namespace cartspring
--- a/tests/rows/rows_test.cpp
+++ b/tests/rows/rows_test.cpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "rows/named_rows.h"
-#include "rows/spare_map.h"
+#include "rows/recycling_map.h"
 
 namespace cartspring {
 namespace {
@@ -25,7 +25,7 @@
     if (rows.size() > 0 && random() % 2 == 0) {
       Named& out = rows[static_cast<int>(random() % static_cast<unsigned>(rows.size()))];
       out.used = false;
-      rows.Freed(out.row);
+      rows.MarkFree(out.row);
     }
     const auto free = std::ranges::find_if(rows, [](const Named& row) { return !row.used; });
     const std::string old = free != rows.end() ? free->name : "";
@@ -41,11 +41,11 @@
 
 struct Kept {
   std::vector<int> items;
-  void Renew() { items.clear(); }
+  void Reset() { items.clear(); }
 };
 
 TEST_CASE("an entry that went comes again as new, in the memory that it had") {
-  SpareMap<int, Kept> map;
+  RecyclingMap<int, Kept> map;
   map[1].items.assign(100, 1);
   const int* memory = map.find(1)->second.items.data();
   map[2].items.push_back(5);
--- a/tests/comeback/starts_test.cpp
+++ b/tests/startup/start_history_test.cpp
@@ -1,5 +1,5 @@
 // A start after a start after a start, told from one start.
-#include "comeback/starts.h"
+#include "startup/start_history.h"
 
 #include <catch2/catch.hpp>
 
@@ -9,8 +9,8 @@
 constexpr std::int64_t kNow = 1'796'000'000'000;
 
 // As from one process to the next.
-Starts Again(const Starts& starts) {
-  const auto read = Starts::Read(starts.Text());
+StartHistory ReadBack(const StartHistory& starts) {
+  const auto read = StartHistory::Parse(starts.Serialize());
   REQUIRE(read);
   return *read;
 }
@@ -18,47 +18,50 @@
 }  // namespace
 
 TEST_CASE("starts in a row are held back from the fourth on, by steps that double up to a bound") {
-  Starts starts;
+  StartHistory starts;
   std::vector<std::int64_t> held;
-  for (int i = 0; i < 20; ++i) held.push_back((starts = Again(starts)).Begin(kNow + i * 1000));
+  for (int i = 0; i < 20; ++i) held.push_back((starts = ReadBack(starts)).Begin(kNow + i * 1000));
   CHECK(std::vector(held.begin(), held.begin() + 10) ==
         std::vector<std::int64_t>{0, 0, 0, 500, 1000, 2000, 4000, 8000, 16'000, 16'000});
-  CHECK(held.back() == Starts::kMostMs);
-  CHECK(starts.Text().size() < 512);
+  CHECK(held.back() == StartHistory::kMaxDelayMs);
+  CHECK(starts.Serialize().size() < 512);
 }
 
 TEST_CASE("one that got to full, was told to stop or lies long ago does not count, nor one that lies ahead") {
   const auto how = GENERATE(0, 1, 2, 3);
-  Starts starts;
+  StartHistory starts;
   for (int i = 0; i < 6; ++i) {
-    const std::int64_t at = how == 2 ? kNow - Starts::kAgeMs - 6 + i : how == 3 ? kNow + 5 + i : kNow - 6 + i;
+    const std::int64_t at = how == 2   ? kNow - StartHistory::kMaxAgeMs - 6 + i
+                            : how == 3 ? kNow + 5 + i
+                                       : kNow - 6 + i;
     starts.Begin(at);
     if (how == 0) starts.Full(at);
     if (how == 1) starts.Stopped(at);
   }
-  CHECK(Again(starts).Begin(kNow) == 0);
+  CHECK(ReadBack(starts).Begin(kNow) == 0);
 }
 
 TEST_CASE("a start that is full for a minute makes up for all before it, and not for one after it") {
-  Starts starts;
+  StartHistory starts;
   for (int i = 0; i < 6; ++i) starts.Begin(kNow + i);
   starts.Full(kNow + 5);
-  CHECK(Again(starts).Begin(kNow + 6) > 0);
+  CHECK(ReadBack(starts).Begin(kNow + 6) > 0);
   starts.Begin(kNow + 6);
   starts.Forget(kNow + 5);
-  CHECK(Again(starts).Begin(kNow + 7) == 0);
-  CHECK(Again(starts).Text().find("1796000000006 started") != std::string::npos);
+  CHECK(ReadBack(starts).Begin(kNow + 7) == 0);
+  CHECK(ReadBack(starts).Serialize().find("1796000000006 started") != std::string::npos);
 }
 
 TEST_CASE("what is torn or not ours is none") {
-  Starts starts;
+  StartHistory starts;
   starts.Begin(kNow);
-  const std::string text = starts.Text();
-  for (std::size_t size = 0; size < text.size(); ++size) CHECK_FALSE(Starts::Read(text.substr(0, size)));
+  const std::string text = starts.Serialize();
+  for (std::size_t size = 0; size < text.size(); ++size)
+    CHECK_FALSE(StartHistory::Parse(text.substr(0, size)));
   for (const std::string other : {"bitternmux starts 2\nend\n", "bitternmux starts 1\n12 starts\nend\n",
                                   "bitternmux starts 1\n99999999999999999999 full\nend\n"})
-    CHECK_FALSE(Starts::Read(other));
-  CHECK_FALSE(Starts::Read(text + "more"));
+    CHECK_FALSE(StartHistory::Parse(other));
+  CHECK_FALSE(StartHistory::Parse(text + "more"));
 }
 
 }  // namespace bitternmux
--- a/tests/comeback/comeback_stories.cpp
+++ b/tests/startup/startup_integration_test.cpp
@@ -6,27 +6,27 @@
 namespace bitternmux::peers {
 namespace {
 
-std::string Call(int door, const std::string& path) {
+std::string CallOperatorApi(int door, const std::string& path) {
   Peer caller = Dial(door);
   caller.Send("GET " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
   return caller.Read();
 }
 
 std::string StateOf(Program& program) {
-  const std::string answer = Call(program.door(), "/admin/stats");
+  const std::string answer = CallOperatorApi(program.door(), "/admin/stats");
   const auto figures = nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n")));
   CHECK(figures["state_ms"].get<int>() >= 0);
   return figures["state"];
 }
 
-struct Folder {
-  Folder() {
+struct StateFolder {
+  StateFolder() {
     std::string made = (std::filesystem::temp_directory_path() / "comeback-XXXXXX").string();
     if (::mkdtemp(made.data()) == nullptr) throw std::runtime_error("no temporary folder");
     path = made;
     std::ofstream(path / "operator.toml") << "[comeback]\nfolder = '" << made << "'\n";
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~StateFolder() { std::filesystem::remove_all(path); }
   std::vector<std::string> Arguments() const { return {"--operator", (path / "operator.toml").string()}; }
   std::filesystem::path path;
 };
@@ -64,14 +64,15 @@
   for (int i = 0; i < 8; ++i) ask(Post("later"));
   const std::string log = program.AwaitLog("comeback.state state=full");
   CHECK(StateOf(program) == "full");
-  std::size_t told = 0;
-  for (auto at = log.find("comeback.state"); at != log.npos; at = log.find("comeback.state", at + 1)) ++told;
-  CHECK(told == 4);
+  std::size_t state_changes = 0;
+  for (auto at = log.find("comeback.state"); at != log.npos; at = log.find("comeback.state", at + 1))
+    ++state_changes;
+  CHECK(state_changes == 4);
 }
 
 TEST_CASE("killed again and again before it is full, it holds back, says no, and ends at once when told to") {
   Listener discovery;
-  const Folder folder;
+  const StateFolder folder;
   auto config = ConfigOf(discovery.address(), 64, nullptr);
   config["operator"] = "127.0.0.1:0";
   for (int i = 0; i < 7; ++i) {
@@ -82,14 +83,14 @@
   }
   while (discovery.Waiting()) discovery.Accept();
   {
-    Program held(config, folder.Arguments());
-    held.AwaitLog("comeback.held ms=8000 failed=7");
-    CHECK(Call(held.door(), "/admin/health").starts_with("HTTP/1.1 503 "));
-    CHECK(StateOf(held) == "held");
+    Program waiting(config, folder.Arguments());
+    waiting.AwaitLog("comeback.held ms=8000 failed=7");
+    CHECK(CallOperatorApi(waiting.door(), "/admin/health").starts_with("HTTP/1.1 503 "));
+    CHECK(StateOf(waiting) == "held");
     CHECK_FALSE(discovery.Waiting());
-    held.Terminate();
-    CHECK(held.Exit() == 0);
-    CHECK(held.AwaitLog("stopped").find(" serving ") == std::string::npos);
+    waiting.Terminate();
+    CHECK(waiting.Exit() == 0);
+    CHECK(waiting.AwaitLog("stopped").find(" serving ") == std::string::npos);
   }
   // What is torn counts as none, and is told.
   std::ofstream(folder.path / "bitternmux-127.0.0.1-0.starts") << "bitternmux starts 1\n17960";
--- a/tests/subset/own_order_test.cpp
+++ b/tests/subset/host_order_test.cpp
@@ -1,4 +1,4 @@
-#include "subset/own_order.h"
+#include "subset/host_order.h"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -8,17 +8,17 @@
 namespace {
 
 struct Host {
-  double place;
-  OwnOrder::Traits traits;
+  double sort_key;
+  HostOrder::Traits traits;
   bool fits, counts;
 };
 
 // What Pick says, with a look at every host.
-std::vector<int> PickByHand(const std::vector<Host>& hosts, std::vector<int> order, std::size_t size) {
+std::vector<int> ReferencePick(const std::vector<Host>& hosts, std::vector<int> order, std::size_t size) {
   std::erase_if(order, [&](int i) { return !hosts[i].fits; });
   std::size_t cut = 0, good = 0;
   for (; cut < order.size() && good < size; ++cut) good += hosts[order[cut]].counts;
-  for (std::size_t t = 0; t < OwnOrder::kTraits; ++t) {
+  for (std::size_t t = 0; t < HostOrder::kTraits; ++t) {
     const auto other = [&](int i) {
       return hosts[i].counts && hosts[i].traits[t] != hosts[order.front()].traits[t];
     };
@@ -43,24 +43,24 @@
       host = {below(1000) / 1000.0, {}, below(5) < fit, below(5) < good};
       for (int& trait : host.traits) trait = below(alike) == 0 ? below(3) : 7;
     }
-    OwnOrder order;
+    HostOrder order;
     for (std::size_t i = 0; i < hosts.size(); ++i)
-      order.Add(static_cast<int>(i), hosts[i].place, hosts[i].traits);
-    order.Settle();
+      order.Add(static_cast<int>(i), hosts[i].sort_key, hosts[i].traits);
+    order.Build();
     const auto size = static_cast<std::size_t>(1 + below(4));
     std::vector<int> picked, fitting;
     const bool all = order.Pick(
         size, [&](int i) { return hosts[i].fits; }, [&](int i) { return hosts[i].counts; }, picked);
-    REQUIRE(picked == PickByHand(hosts, {order.begin(), order.end()}, size));
+    REQUIRE(picked == ReferencePick(hosts, {order.begin(), order.end()}, size));
     std::ranges::copy_if(order, std::back_inserter(fitting), [&](int i) { return hosts[i].fits; });
     if (all) REQUIRE(picked == fitting);
   }
 }
 
 TEST_CASE("hosts behind the part are not looked at, nor are those of one zone in the search for another") {
-  OwnOrder order;
+  HostOrder order;
   for (int i = 0; i < 1000; ++i) order.Add(i, i, {i == 990, 0, 0});
-  order.Settle();
+  order.Build();
   int looks = 0;
   std::vector<int> picked;
   order.Pick(
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -9,11 +9,11 @@
 namespace cartspring {
 namespace {
 
-std::vector<int> OrderOf(std::uint64_t seed, const std::vector<int>& hosts, int large = -1) {
+std::vector<int> OrderForSeed(std::uint64_t seed, const std::vector<int>& hosts, int large = -1) {
   const Subset subset(seed);
   std::vector<int> order = hosts;
   std::ranges::sort(order, {},
-                    [&](int i) { return subset.PlaceOf("host-" + std::to_string(i), i == large ? 3 : 1); });
+                    [&](int i) { return subset.SortKey("host-" + std::to_string(i), i == large ? 3 : 1); });
   return order;
 }
 
@@ -25,7 +25,8 @@
 
 TEST_CASE("hosts are in the first places of instances evenly, and a larger one by its size") {
   std::map<int, int> first;
-  for (std::uint64_t seed = 0; seed < 4200; ++seed) ++first[OrderOf(seed, UpTo(40), /*large=*/7).front()];
+  for (std::uint64_t seed = 0; seed < 4200; ++seed)
+    ++first[OrderForSeed(seed, UpTo(40), /*large=*/7).front()];
   // Of 42 shares the large host has 3: 300 of the 4,200 instances, the others 100 each.
   for (const auto& [host, count] : first) {
     INFO(host);
@@ -35,12 +36,12 @@
 
 TEST_CASE("a host that goes moves no other, and comes back to its place") {
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
-    std::vector<int> order = OrderOf(seed, UpTo(30));
+    std::vector<int> order = OrderForSeed(seed, UpTo(30));
     std::vector<int> without = UpTo(30);
     std::erase(without, order[2]);
-    CHECK(OrderOf(seed, UpTo(30)) == order);
+    CHECK(OrderForSeed(seed, UpTo(30)) == order);
     std::erase(order, order[2]);
-    CHECK(OrderOf(seed, without) == order);
+    CHECK(OrderForSeed(seed, without) == order);
   }
 }
 
