--- a/src/membership/list_call_schedule.h
+++ b/src/membership/list_call_schedule.h
@@ -1,15 +1,18 @@
-// When to ask discovery for the list, where it speaks only when asked: at the start, and after a refusal with
-// a pause that grows. Both that pause and the wait for an answer are spread by the caller's chance, so that
-// members that called or were turned away together do not come back together. Spreading only shortens.
+// When to request the host list from discovery, which sends nothing before it is asked: at the start, and
+// after a failure with a growing backoff. Both that backoff and the time-out for an answer have jitter from
+// the caller's random number, so that members that called or were refused together do not retry together.
+// Jitter only shortens the delays.
 //
-// Bounds. Whatever became of a call and whatever the settings allow, the next one goes out within kLongestMs
-// of it: a change counts as told 6 s after discovery had it and could be reached, which may have been right
-// behind the call. The first after a watch broke goes out within kFirstMs: a watch that fell silent is broken
-// up to 3 s after it missed a change, which is to be in force everywhere within 4 s. What is left of these is
-// for the call itself.
+// Bounds:
+// - Whatever became of a call and whatever the settings allow, kMaxCallIntervalMs is the longest time to the
+//   next one. A change must be received within 6 s after discovery had it and was reachable, and that may
+//   have been right after the call.
+// - The first call after a watch broke is made within kMaxFirstRetryMs. A watch that fell silent is detected
+//   as broken up to 3 s after it missed a change, and a change must be in force everywhere within 4 s.
+// The rest of these times is left for the call itself.
 //
-// Does no I/O, reads no clock and draws no chance. Times in ms, by the caller's clock; `chance`: uniform,
-// from 0 to below 1.
+// Does no I/O, reads no clock and generates no random numbers. Times are in ms by the caller's clock;
+// `chance` is uniform in [0, 1).
 #ifndef BITTERNMUX_SRC_MEMBERSHIP_LIST_CALL_SCHEDULE_H_
 #define BITTERNMUX_SRC_MEMBERSHIP_LIST_CALL_SCHEDULE_H_
 
@@ -21,25 +24,25 @@
  public:
   static constexpr double kMaxCallIntervalMs = 5000, kMaxFirstRetryMs = 800;
 
-  // `ask_within_ms`: a member must never go this long without asking. It is read at each call, so that new
-  // settings count at once, and must outlive this.
+  // `ask_within_ms`: the longest time that a member may go without a call. It is read at each call, so that
+  // new settings apply at once, and must outlive this object.
   explicit ListCallSchedule(const double& ask_within_ms) : ask_within_ms_(ask_within_ms) {}
   explicit ListCallSchedule(const double&&) = delete;
 
-  // A call goes out now. Until its answer comes, the next is due at the time returned: an answer that never
-  // comes must not leave this member deaf. No sooner than most answers that are slow would have come.
+  // A call is made now. Returns when the next is due if no answer arrives until then: a lost answer must not
+  // cut this member off from updates. The time is long enough for most slow answers to arrive.
   double CallSent(double now, double chance) {
     in_flight_ = true;
     return next_call_ms_ = now + MaxWaitMs() * (0.75 + 0.25 * chance);
   }
-  // The list, or a change of it, has come.
+  // The list, or a change of it, has been received.
   void ListReceived() {
     if (!in_flight_) return;
     in_flight_ = false;
     subscribed_ = true;
     refusals_ = 0;
   }
-  // The call failed, or the watch broke. When the next is due.
+  // The call failed, or the watch broke. Returns when the next call is due.
   double CallFailed(double now, double chance) {
     const double first = std::min(kMaxFirstRetryMs, MaxWaitMs() / 4);
     const double base = std::min(MaxWaitMs(), first * (1 << std::min(refusals_, 4)));
@@ -52,7 +55,7 @@
   bool Due(double now) const { return !subscribed_ && now >= next_call_ms_ - kTimeToleranceMs; }
 
  private:
-  static constexpr double kTimeToleranceMs = 1e-6;  // for comparing times
+  static constexpr double kTimeToleranceMs = 1e-6;  // absorbs rounding when times are compared
 
   double MaxWaitMs() const { return std::min(kMaxCallIntervalMs, ask_within_ms_ / 2); }
 
--- a/src/pace/adaptive_throttle.h
+++ b/src/pace/adaptive_throttle.h
@@ -1,12 +1,12 @@
-// How much of what comes a member of a large tier takes on, by what it sees of answers that are late.
+// Limits the share of requests that an instance of a large tier accepts, by how many answers are late.
 //
-// In a large tier a bound on what one host holds says nothing: each member has none or one request there, and
-// a hundred of them crowd it all the same. What each of them does see, within one answer time and on little
-// traffic, is that answers come late wherever it asks. So each takes on less at once, multiplied down for
-// each late answer and added up for each good one, and all of them together settle where about a third are
-// late.
+// In a large tier a limit on the requests in flight per host has no effect: each instance has none or one at
+// a host, and a hundred instances still overload it. What each instance does notice, within one answer time
+// and even at low traffic, is that answers are late from every host. So each reduces the share it accepts at
+// once: multiplicative decrease for each late answer, additive increase for each timely one. All instances
+// together settle where about a third of the answers are late.
 //
-// Does no I/O, reads no clock and draws no chance.
+// Does no I/O, reads no clock and generates no random numbers.
 #ifndef BITTERNMUX_SRC_PACE_ADAPTIVE_THROTTLE_H_
 #define BITTERNMUX_SRC_PACE_ADAPTIVE_THROTTLE_H_
 
@@ -19,11 +19,11 @@
 
 class AdaptiveThrottle {
  public:
-  // `worths`: of each class, for a unit of work. What is dearer is shed last.
+  // `worths`: the value of each request class per unit of work. Classes of higher worth are shed last.
   explicit AdaptiveThrottle(std::vector<double> worths)
       : worths_(std::move(worths)), recent_requests_(worths_.size(), 1) {}
 
-  // Other classes. `like`: for each the one whose share it goes on from, or -1.
+  // Replaces the classes. `like`: for each new class the old one whose request count it inherits, or -1.
   void Retune(std::vector<double> worths, const std::vector<int>& like) {
     std::vector<double> recent;
     for (const int from : like)
@@ -32,9 +32,9 @@
     recent_requests_ = std::move(recent);
   }
 
-  // A request of `klass`, one of the classes, has come: is it taken on? `chance`: uniform, from 0 to below 1.
-  // Each class keeps most of an equal share, or it would be starved for a dearer one. What is left is shed
-  // one class after the other, the cheapest first, by their shares of what came lately.
+  // Whether to accept a request of class `klass` that has arrived. `chance` is uniform in [0, 1).
+  // Each class keeps most of an equal share, so that a class of higher worth cannot starve it. The remaining
+  // capacity goes to the classes in order of worth, highest first, by their shares of the recent requests.
   bool Admits(int klass, double chance) {
     const auto of = static_cast<std::size_t>(klass);
     for (double& recent : recent_requests_) recent *= kCountDecay;
@@ -49,25 +49,26 @@
            fair + std::max(0.0, (admitted_share_ - fair) * all - (1 - fair) * dearer) / recent_requests_[of];
   }
 
-  // An answer has come in time, or is known to be late though it has not come.
+  // An answer arrived in time, or is late: a late one is reported when that is known, even before it arrives.
   void RecordAnswer(bool late) {
     admitted_share_ = late ? std::max(kMinAdmittedShare, admitted_share_ * kDecreaseFactor)
                            : std::min(1.0, admitted_share_ + kIncrease);
   }
 
-  // Share of what comes that is taken on.
+  // Share of the arriving requests that is accepted.
   double admitted_share() const { return admitted_share_; }
 
  private:
-  // Level where a share kUp / (kUp + (1 - kDown) * open) of the answers is late: a third while all is open,
-  // so that some slow hosts close nothing.
+  // The admitted share is in equilibrium where kIncrease / (kIncrease + (1 - kDecreaseFactor) *
+  // admitted_share) of the answers are late. With everything admitted that is a third, so a few slow hosts
+  // reduce nothing.
   static constexpr double kIncrease = 0.1, kDecreaseFactor = 0.8;
-  static constexpr double kMinAdmittedShare = 0.03;  // goes on measuring: what is shed teaches nothing
-  static constexpr double kEqualShare = 0.7;         // of what is taken on: shared by all classes alike
-  static constexpr double kCountDecay = 0.99;        // of the counts by class, at each request
+  static constexpr double kMinAdmittedShare = 0.03;  // shed requests give no answers to measure by
+  static constexpr double kEqualShare = 0.7;         // part of the admitted share that each class gets alike
+  static constexpr double kCountDecay = 0.99;        // applied to the counts of all classes at each request
 
   std::vector<double> worths_;
-  std::vector<double> recent_requests_;  // fading, by class
+  std::vector<double> recent_requests_;  // by class, with exponential decay
   double admitted_share_ = 1;
 };
 
--- a/src/rows/named_rows.h
+++ b/src/rows/named_rows.h
@@ -1,7 +1,7 @@
-// Rows by index, and the index by name. A row in use is never given to another name, and none is added while
-// one is free. A container without a decision in it.
+// A table of rows, addressed by index or by name. A row in use is never given to another name, and no row is
+// added while one is free. A plain container without decision logic.
 //
-// Bound: as many rows as were in use at once.
+// Memory: as many rows as were in use at the same time.
 #ifndef BITTERNMUX_SRC_ROWS_NAMED_ROWS_H_
 #define BITTERNMUX_SRC_ROWS_NAMED_ROWS_H_
 
@@ -12,7 +12,8 @@
 
 namespace cartspring {
 
-// Row: made by default; `int row`, its index; `std::string Name() const`; `bool InUse() const`.
+// Row must be default-constructible and have `int row` (its index), `std::string Name() const` and
+// `bool InUse() const`.
 template <class Row>
 class NamedRows {
  public:
@@ -29,8 +30,9 @@
     return found != index_.end() ? found->second : kNone;
   }
 
-  // The first free row, made anew, for `name`, which has none. Rows that went out of use are found if Freed
-  // told of them, or if it was before the last call of Sweep: all that is added between two costs one pass.
+  // Resets the first free row and assigns it to `name`, which must not have a row yet. A row that went out of
+  // use is found only after MarkFree was called for it, or RescanFromStart after that. All additions between
+  // two calls of RescanFromStart together cost one pass over the rows.
   Row& Add(const std::string& name) {
     while (first_free_ < size() && (*this)[first_free_].InUse()) ++first_free_;
     if (first_free_ == size()) rows_.emplace_back();
@@ -45,8 +47,8 @@
 
  private:
   std::vector<Row> rows_;
-  std::unordered_map<std::string, int> index_;  // looked up, never walked
-  int first_free_ = 0;                          // the rows below are in use
+  std::unordered_map<std::string, int> index_;  // never iterated over
+  int first_free_ = 0;                          // all rows below this index are in use
 };
 
 }  // namespace cartspring
--- a/src/rows/ranking.h
+++ b/src/rows/ranking.h
@@ -1,7 +1,7 @@
-// What is ranked, put in order only as far down as it is asked for: the first costs a look at each, not a
-// sort of all. A container without a decision in it.
+// A collection of items that is sorted only as far as it is read: getting the first item costs one pass over
+// all items, not a full sort. A plain container without decision logic.
 //
-// Bound: what is added between two calls of Clear.
+// Memory: the items added between two calls of Clear.
 #ifndef BITTERNMUX_SRC_ROWS_RANKING_H_
 #define BITTERNMUX_SRC_ROWS_RANKING_H_
 
@@ -11,7 +11,7 @@
 
 namespace cartspring {
 
-// Item: ordered by <, the least comes first.
+// Item must be ordered by <; the smallest comes first.
 template <class Item>
 class Ranking {
  public:
@@ -19,15 +19,15 @@
     items_.clear();
     sorted_ = 0;
   }
-  // Not once At was called, until Clear.
+  // Must not be called between a call of At and the next Clear.
   void Add(const Item& item) { items_.push_back(item); }
   std::size_t size() const { return items_.size(); }
 
-  // The item with `rank` (below size()) others before it.
+  // The item at position `rank` (from 0, below size()) of the sorted order.
   const Item& At(std::size_t rank) {
     const auto after = [](const Item& a, const Item& b) { return b < a; };
     if (sorted_ == 0) std::make_heap(items_.begin(), items_.end(), after);
-    for (; sorted_ <= rank; ++sorted_)  // to the back, behind what is not ranked yet
+    for (; sorted_ <= rank; ++sorted_)  // moved to the back, behind the items not sorted yet
       std::pop_heap(items_.begin(), items_.end() - static_cast<std::ptrdiff_t>(sorted_), after);
     return items_[items_.size() - 1 - rank];
   }
--- a/src/rows/recycling_map.h
+++ b/src/rows/recycling_map.h
@@ -1,7 +1,7 @@
-// A map whose entries are used again when they go, with the memory that they hold: a map of what comes and
-// goes all day asks for none once as many were in it as usually are. A container without a decision in it.
+// A map that reuses erased entries together with the memory that they hold: with entries added and erased all
+// the time, it stops allocating once its usual size was reached. A plain container without decision logic.
 //
-// Bound: the entries that are in, and kSpareMost that went.
+// Memory: the entries in the map and up to kMaxRecycled erased ones.
 #ifndef BITTERNMUX_SRC_ROWS_RECYCLING_MAP_H_
 #define BITTERNMUX_SRC_ROWS_RECYCLING_MAP_H_
 
@@ -12,7 +12,7 @@
 
 namespace cartspring {
 
-// Value: made by default; Renew() makes it as if it were new, but for memory that it keeps.
+// Value must be default-constructible; its Reset() restores the initial state but keeps allocated memory.
 template <class Key, class Value>
 class RecyclingMap {
   using Map = std::unordered_map<Key, Value>;
@@ -21,7 +21,7 @@
   typename Map::iterator find(const Key& key) { return map_.find(key); }
   typename Map::iterator end() { return map_.end(); }
 
-  // A new value where there is none. It stays where it is until it is erased.
+  // Adds a new value if there is none for `key`. Its address stays valid until it is erased.
   Value& operator[](const Key& key) {
     if (recycled_.empty() || map_.contains(key)) return map_[key];
     auto node = std::move(recycled_.back());
@@ -40,7 +40,7 @@
  private:
   static constexpr std::size_t kMaxRecycled = 64;
 
-  Map map_;  // looked up, never walked
+  Map map_;  // never iterated over
   std::vector<typename Map::node_type> recycled_;
 };
 
--- a/src/rows/row_set.h
+++ b/src/rows/row_set.h
@@ -1,7 +1,7 @@
-// A set of rows, gone through without a look at those that are not in it. A container without a decision in
-// it.
+// A set of row indices that is iterated over without visiting rows outside it. A plain container without
+// decision logic.
 //
-// Bound: as many rows as were ever named, a number and a bit for each.
+// Memory: one index and one bit for each row that was ever added, or below one that was.
 #ifndef BITTERNMUX_SRC_ROWS_ROW_SET_H_
 #define BITTERNMUX_SRC_ROWS_ROW_SET_H_
 
@@ -18,7 +18,7 @@
     return at < in_.size() && in_[at];
   }
 
-  // `row`: from 0. Nothing changes where it is in already.
+  // `row` is 0 or above. Has no effect if the set contains it already.
   void Add(int row) {
     if (Has(row)) return;
     const auto at = static_cast<std::size_t>(row);
@@ -27,7 +27,7 @@
     rows_.push_back(row);
   }
 
-  // Takes out the rows of which `over` is true.
+  // Removes the rows that satisfy `predicate`.
   template <class Predicate>
   void EraseIf(const Predicate& predicate) {
     std::erase_if(rows_, [&](int row) {
@@ -37,7 +37,7 @@
     });
   }
 
-  // How many rows of the set, and of `more` beside it (no row twice), `holds` is true of.
+  // Counts the rows in the union of the set and `more` that satisfy `predicate`. `more` has no duplicates.
   template <class Predicate>
   std::ptrdiff_t CountIf(const Predicate& predicate, const std::vector<int>& more = {}) const {
     return std::ranges::count_if(rows_, predicate) +
--- a/src/startup/start_history.cpp
+++ b/src/startup/start_history.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view kHead = "bitternmux starts 1", kEnd = "end";
 constexpr std::string_view kStarted = " started", kFull = " full";
 
-// Takes the next line off the front; none where it is not whole.
+// Removes and returns the first line of `text`; nullopt if it has no line end.
 std::optional<std::string_view> TakeLine(std::string_view& text) {
   const auto end = text.find('\n');
   if (end == text.npos) return std::nullopt;
@@ -33,7 +33,7 @@
     start.full = word == kFull;
     out.starts_.push_back(start);
   }
-  return std::nullopt;  // torn
+  return std::nullopt;  // truncated: the end line is missing
 }
 
 std::string StartHistory::Serialize() const {
--- a/src/startup/start_history.h
+++ b/src/startup/start_history.h
@@ -1,13 +1,16 @@
-// One start, or a start after a start after a start: how long this one holds back before it takes anything
-// on.
+// Records the starts of a sidecar over several processes, and decides from them how long a new process waits
+// before it accepts any work. This limits the load of a crash loop.
 //
-// A start that did not get to *full* before the next one counts as failed. Up to kFree of them cost nothing:
-// a release, or a kill of the whole fleet and one more, must not. Beyond that each doubles the time held
-// back, up to kMostMs. Forgotten are all starts once one was full for kForgetMs; one that was told to stop;
-// those older than kAgeMs; and those that lie ahead, since a clock that went back must not lock a sidecar
-// out.
+// A start that did not reach *full* before the next start counts as failed. Up to kFreeFailures failures
+// cause no delay, because a release, or a kill of the complete fleet followed by one more kill, must not.
+// Each further failure doubles the delay, up to kMaxDelayMs. These starts are dropped:
+// - all starts up to one that has stayed *full* for kResetAfterFullMs;
+// - a start that was stopped on request;
+// - starts older than kMaxAgeMs;
+// - starts in the future: a clock that went back must not lock a sidecar out.
 //
-// Does no I/O and reads no clock. Unix times in ms. State: kMost starts, the oldest is forgotten first.
+// Does no I/O and reads no clock. Unix times in ms. Memory is bounded by kMaxStarts starts; the oldest is
+// dropped first.
 #ifndef BITTERNMUX_SRC_STARTUP_START_HISTORY_H_
 #define BITTERNMUX_SRC_STARTUP_START_HISTORY_H_
 
@@ -26,19 +29,19 @@
   static constexpr std::int64_t kFirstDelayMs = 500, kMaxDelayMs = 16'000, kResetAfterFullMs = 60'000,
                                 kMaxAgeMs = 600'000;
 
-  // What Text gave before; none where it is anything else.
+  // Parses the output of Serialize; nullopt for any other text.
   static std::optional<StartHistory> Parse(std::string_view text);
   std::string Serialize() const;
 
-  // This life begins. How long it is to hold back, in ms.
+  // Records the start of this process. Returns for how long it must wait before it accepts work, in ms.
   std::int64_t Begin(std::int64_t unix_ms);
-  // Of those before it, so many failed, as of Begin.
+  // Number of earlier starts that counted as failed when Begin was called.
   std::size_t failed() const { return failed_; }
-  // The life that began then has got to full.
+  // The process that started at `began` has reached *full*.
   void Full(std::int64_t began);
-  // It has been full for kForgetMs: nothing up to then counts any more.
+  // That process has been *full* for kResetAfterFullMs: drops its start and all earlier ones.
   void Forget(std::int64_t began);
-  // It was told to stop, and its end is no failure.
+  // That process was stopped on request, so its end is not a failure.
   void Stopped(std::int64_t began);
 
  private:
@@ -47,7 +50,7 @@
     bool full = false;
   };
 
-  std::vector<Start> starts_;  // the oldest first
+  std::vector<Start> starts_;  // oldest first
   std::size_t failed_ = 0;
 };
 
--- a/src/startup/startup_tracker.h
+++ b/src/startup/startup_tracker.h
@@ -1,16 +1,18 @@
-// What an instance may do from its start until it is as good as one that has run for a minute.
+// Tracks an instance from its start until it decides as well as one that has run for a minute.
 //
-// Four states, told to operators by these names. *Remembering*: it goes by the list that it was started with,
-// nothing of discovery was heard in this life. *Listed*: discovery has told its list, and no host of it has
-// answered yet. *Learning*: hosts answer, too few yet to tell one from another. *Full*: as good as any.
+// There are four states, reported to operators under these names:
+// - *remembering*: the instance uses the host list that it was started with; none has come from discovery.
+// - *listed*: discovery has sent its list; no host of it has answered yet.
+// - *learning*: hosts answer, but there are too few answers to tell the hosts apart.
+// - *full*: the instance decides as well as any other.
 // docs/design/comeback.md has the table of transitions.
 //
-// Invariants. With a host to go by no state but the last is stayed in for longer than its longest stay, all
-// of them together a minute, whatever discovery does. State: kNames names of hosts and kChanges changes, of
-// which the oldest is forgotten first.
+// Invariants: while at least one host is known, no state but the last lasts longer than MaxStayMs. The limits
+// add up to one minute, whatever discovery does. Memory is bounded by kMaxHostNames host names and
+// kMaxChanges state changes; the oldest change is dropped first.
 //
-// Does no I/O, reads no clock and draws no chance. Times in ms, by the caller's clock, never going back;
-// `chance`: uniform, from 0 to below 1.
+// Does no I/O, reads no clock and generates no random numbers. Times are in ms by the caller's clock, which
+// never goes back; `chance` is uniform in [0, 1).
 #ifndef BITTERNMUX_SRC_STARTUP_STARTUP_TRACKER_H_
 #define BITTERNMUX_SRC_STARTUP_STARTUP_TRACKER_H_
 
@@ -31,14 +33,14 @@
  public:
   static constexpr std::size_t kMaxHostNames = 8, kMaxChanges = 8;
 
-  // `settings` are read at each event, so that new ones count at once, and must outlive this.
+  // `settings` must outlive this object; they are read at each event, so changes apply at once.
   explicit StartupTracker(const Settings& settings) : calls_(settings.ask_within_ms) {}
   explicit StartupTracker(const Settings&&) = delete;
   StartupTracker(const StartupTracker&) = delete;
   StartupTracker& operator=(const StartupTracker&) = delete;
 
-  // A list: the one that this life begins with, or what discovery has told. `hosts`: those in service, none
-  // where none is remembered; `name_of`: the name of one.
+  // A host list was received: the remembered one at the start (`remembered`), or one from discovery.
+  // `hosts`: the hosts in service, empty if none are remembered; `name_of` returns the name of a host.
   template <class Hosts, class NameOf>
   void ListReceived(double now, const Hosts& hosts, const NameOf& name_of, bool remembered) {
     Advance(now);
@@ -50,11 +52,11 @@
     std::erase_if(answered_, [&](const std::string& name) {
       return std::ranges::none_of(hosts, [&](const auto& host) { return name_of(host) == name; });
     });
-    const bool replaced = knew && answered_.empty();  // nothing that it learned is of use any more
+    const bool replaced = knew && answered_.empty();  // none of the hosts learned about remains
     if (!list_received_ || (replaced && state_ != ServiceState::kListed)) Enter(ServiceState::kListed, now);
     list_received_ = true;
   }
-  // A host has answered a request.
+  // `host` has answered a request.
   void HostAnswered(double now, const std::string& host) {
     Advance(now);
     if (state_ == ServiceState::kFull && answered_.size() == kMaxHostNames) return;
@@ -67,7 +69,7 @@
       Enter(ServiceState::kFull, now);
   }
 
-  // When to call for the list: as ListCalls has it.
+  // When to request the list from discovery, see ListCallSchedule.
   double CallSent(double now, double chance) { return calls_.CallSent(now, chance); }
   double CallFailed(double now, double chance) { return calls_.CallFailed(now, chance); }
   bool Due(double now) const { return calls_.Due(now); }
@@ -76,7 +78,7 @@
     Advance(now);
     return state_;
   }
-  // The changes of state after the `after`-th, the oldest first, kChanges at most. The first is the start.
+  // The state changes that follow number `after`, oldest first, kMaxChanges at most. The start is number 1.
   std::vector<StateChange> Changes(double now, std::uint64_t after) {
     Advance(now);
     std::vector<StateChange> out;
@@ -102,10 +104,10 @@
   }
 
  private:
-  static constexpr std::uint64_t kMinAnswers = 8;  // answers that a mean can be made of
-  static constexpr std::size_t kMinHosts = 2;      // hosts that it takes to tell one from another
+  static constexpr std::uint64_t kMinAnswers = 8;  // enough answers for a meaningful mean
+  static constexpr std::size_t kMinHosts = 2;      // comparing hosts takes at least two
 
-  // Without a host there is nothing that time alone could teach.
+  // Applies the transitions that are due by time. Without hosts nothing can be learned, so none is due.
   void Advance(double now) {
     if (change_count_ == 0) Enter(ServiceState::kRemembering, now);
     while (hosts_ > 0 && now >= stay_began_ + MaxStayMs(state_)) {
@@ -124,12 +126,12 @@
 
   ListCallSchedule calls_;
   ServiceState state_ = ServiceState::kRemembering;
-  double stay_began_ = 0;       // from when its stay counts: its entry, or later where there was no host
-  bool list_received_ = false;  // discovery was heard in this life
+  double stay_began_ = 0;       // when the state was entered, or later, when the first host became known
+  bool list_received_ = false;  // discovery has sent a list since the start
   std::size_t hosts_ = 0;
-  std::vector<std::string> answered_;  // hosts in service that have answered in this life, some of them
-  std::uint64_t answers_ = 0;          // in this state
-  std::uint64_t change_count_ = 0;     // changes
+  std::vector<std::string> answered_;  // up to kMaxHostNames hosts in service that have answered
+  std::uint64_t answers_ = 0;          // since the state was entered
+  std::uint64_t change_count_ = 0;     // state changes since the start
   std::array<StateChange, kMaxChanges> changes_{};
 };
 
--- a/src/subset/host_order.h
+++ b/src/subset/host_order.h
@@ -1,7 +1,7 @@
-// The live hosts in an instance's own order (subset.h), and the part of them that is looked at, found without
-// a look at those behind it.
+// The live hosts in an instance's own order (subset.h). Selects the first hosts of that order without looking
+// at those behind them.
 //
-// Bound: one entry for each host. Does no I/O, reads no clock and draws no chance.
+// Memory: one entry per host. Does no I/O, reads no clock and generates no random numbers.
 #ifndef BITTERNMUX_SRC_SUBSET_HOST_ORDER_H_
 #define BITTERNMUX_SRC_SUBSET_HOST_ORDER_H_
 
@@ -16,13 +16,13 @@
 class HostOrder {
  public:
   static constexpr std::size_t kTraits = 3;
-  using Traits = std::array<int, kTraits>;  // what can take hosts away together: zone, kind, cell
+  using Traits = std::array<int, kTraits>;  // common causes of failure: zone, kind, cell
 
   void Clear() {
     hosts_.clear();
     rows_.clear();
   }
-  // `place`: Subset::PlaceOf. The order holds once all are added and Settle was called.
+  // `sort_key`: from Subset::SortKey. Call Build once all hosts are added; the order is valid after it.
   void Add(int row, double sort_key, const Traits& traits) { hosts_.push_back({sort_key, row, traits, {}}); }
   void Build() {
     std::ranges::sort(hosts_, {}, [](const Entry& host) { return std::pair(host.sort_key, host.row); });
@@ -36,16 +36,17 @@
     for (const Entry& host : hosts_) rows_.push_back(host.row);
   }
 
-  // The rows, in this order.
+  // Iteration over the rows in this order.
   auto begin() const { return rows_.begin(); }
   auto end() const { return rows_.end(); }
   std::size_t size() const { return rows_.size(); }
   bool empty() const { return rows_.empty(); }
 
-  // Puts into `out` the rows that `fits` holds for, down the order to the `size`th (above 0 where there are
-  // hosts) that `counts` holds good, others between them left in. Where all of these are alike in a trait,
-  // the next that is not comes as well: what takes one kind, zone or cell away must not take all. Costs what
-  // is passed on the way and no more. True: the order was gone down to its end, `out` is all that fits.
+  // Writes to `out` the rows that satisfy `fits`, in order, up to the `size`th that also satisfies `counts`;
+  // rows between them that only fit are included. `size` is above 0 if there are hosts. If all counted rows
+  // have the same value of a trait, the next row that differs is added: the loss of one kind, zone or cell
+  // must not take away all of them. The cost is that of the rows visited. Returns true if the search reached
+  // the end of the order, so that `out` holds every row that fits.
   template <class Fits, class Counts>
   bool Pick(std::size_t size, const Fits& fits, const Counts& counts, std::vector<int>& out) const {
     out.clear();
@@ -86,10 +87,11 @@
     double sort_key;
     int row;
     Traits traits;
-    std::array<std::size_t, kTraits> next_different;  // the next place where the trait is another, or the end
+    std::array<std::size_t, kTraits>
+        next_different;  // per trait: index of the next entry with another value, or the end
   };
   std::vector<Entry> hosts_;
-  std::vector<int> rows_;  // the same, rows alone
+  std::vector<int> rows_;  // the rows of hosts_, in the same order
 };
 
 }  // namespace cartspring
--- a/tests/membership/list_call_schedule_test.cpp
+++ b/tests/membership/list_call_schedule_test.cpp
@@ -8,7 +8,7 @@
 namespace cartspring {
 namespace {
 
-TEST_CASE("a call that is never answered is made again within half the time that is allowed") {
+TEST_CASE("an unanswered call is repeated within half of the allowed time") {
   double within = 10000;
   ListCallSchedule calls(within);
   const double due = calls.CallSent(1000, 0.5);
@@ -17,11 +17,11 @@
   CHECK(calls.Due(due));
   calls.ListReceived();
   CHECK_FALSE(calls.Due(due));
-  within = 4000;  // by new settings
+  within = 4000;  // new settings apply at once
   CHECK(calls.CallSent(1000, 0.999) <= 3000);
 }
 
-TEST_CASE("a hundred members that have asked together and hear nothing ask again spread out, and in time") {
+TEST_CASE("a hundred members whose simultaneous calls stay unanswered retry spread out, and in time") {
   std::mt19937 draw(1);
   std::uniform_real_distribution<double> unit(0, 1);
   std::vector<double> due;
@@ -29,7 +29,7 @@
   for (int i = 0; i < 100; ++i) due.push_back(ListCallSchedule(within).CallSent(0, unit(draw)));
   std::sort(due.begin(), due.end());
   CHECK(due.back() <= 5000);
-  std::ptrdiff_t peak = 0;  // in any 100 ms
+  std::ptrdiff_t peak = 0;  // the most calls in any 100 ms
   for (const double from : due) {
     peak = std::max(peak, std::count_if(due.begin(), due.end(),
                                         [&](double at) { return at >= from && at < from + 100; }));
@@ -37,7 +37,7 @@
   CHECK(peak <= 20);
 }
 
-TEST_CASE("a hundred members that are turned away together come back spread out, and less often each time") {
+TEST_CASE("a hundred members refused simultaneously retry spread out, with a growing backoff") {
   std::mt19937 draw(1);
   std::uniform_real_distribution<double> unit(0, 1);
   const double within = 10000;
@@ -62,8 +62,7 @@
   }
 }
 
-TEST_CASE(
-    "whatever became of a call, and whatever the settings allow, the next one is 5 s behind it at most") {
+TEST_CASE("whatever the outcome of a call and the settings, the next call follows within 5 s") {
   std::mt19937 draw(1);
   std::uniform_real_distribution<double> unit(0, 1);
   const double within = GENERATE(500.0, 4000.0, 10'000.0, 12'000.0, 60'000.0, 3'600'000.0);
@@ -74,7 +73,7 @@
       const double asked = now;
       double due = calls.CallSent(now, unit(draw));
       const int became =
-          static_cast<int>(unit(draw) * 4);  // no answer; refused; given up; a watch that breaks
+          static_cast<int>(unit(draw) * 4);  // 0: no answer, 1: refused, 2: given up, 3: the watch breaks
       if (became == 1) due = calls.CallFailed(now, unit(draw));
       if (became == 2) due = calls.CallFailed(now += std::min(due - now, 4000 * unit(draw)), unit(draw));
       CHECK(due <= asked + ListCallSchedule::kMaxCallIntervalMs);
--- a/tests/pace/adaptive_throttle_test.cpp
+++ b/tests/pace/adaptive_throttle_test.cpp
@@ -10,7 +10,7 @@
 double AdmittedShare(AdaptiveThrottle& pace, int klass) {
   int admitted = 0;
   for (int i = 0; i < 300; ++i) {
-    // The classes come in turn, so that each is a third of what comes.
+    // The classes alternate, so that each is a third of the requests.
     for (int k = 0; k < 3; ++k) {
       const bool in = pace.Admits(k, (i + 0.5) / 300);
       if (k == klass) admitted += in;
@@ -19,49 +19,52 @@
   return admitted / 300.0;
 }
 
-TEST_CASE("a member that sees no late answers takes all on") {
+TEST_CASE("a member that sees no late answers accepts all requests") {
   AdaptiveThrottle pace({2, 8, 5});
   for (int i = 0; i < 100; ++i) pace.RecordAnswer(false);
   for (int k = 0; k < 3; ++k) CHECK(AdmittedShare(pace, k) == 1);
 }
 
-TEST_CASE("some slow hosts among many close nothing, many late answers do, and it opens again by itself") {
+TEST_CASE(
+    "a few slow hosts leave the admitted share high, many late answers lower it, and it recovers by itself") {
   AdaptiveThrottle pace({2, 8, 5});
   for (int i = 0; i < 400; ++i) pace.RecordAnswer(i % 5 == 0);
   CHECK(pace.admitted_share() > 0.7);
   for (int i = 0; i < 20; ++i) pace.RecordAnswer(true);
   CHECK(pace.admitted_share() < 0.1);
-  CHECK(pace.admitted_share() > 0);  // or nothing would ever be measured again
+  CHECK(pace.admitted_share() > 0);  // otherwise no further answers could be measured
   for (int i = 0; i < 12; ++i) pace.RecordAnswer(false);
   CHECK(pace.admitted_share() == 1);
 }
 
-TEST_CASE("the cheapest class is shed first and the dearest last, and none is starved for another") {
+TEST_CASE("the class of least worth is shed first, that of most worth last, and none is starved") {
   AdaptiveThrottle pace({2, 8, 5});
-  while (pace.admitted_share() > 0.55) pace.RecordAnswer(true);  // 0.51: one class and a half
+  while (pace.admitted_share() > 0.55)
+    pace.RecordAnswer(true);  // 0.51: capacity for one and a half of the three classes
   const double admitted_share = pace.admitted_share(), cheapest = AdmittedShare(pace, 0),
                dearest = AdmittedShare(pace, 1), between = AdmittedShare(pace, 2);
-  CHECK(cheapest + dearest + between == Approx(3 * admitted_share).margin(0.1));  // it is the same in all
+  CHECK(cheapest + dearest + between ==
+        Approx(3 * admitted_share).margin(0.1));  // the total matches the admitted share
   CHECK(cheapest == Approx(0.7 * admitted_share).margin(0.05));
   CHECK(dearest > 1.5 * admitted_share);
   CHECK(between >= cheapest - 0.05);
   while (pace.admitted_share() < 0.9)
-    pace.RecordAnswer(false);  // there is room for all but a part of the cheapest
+    pace.RecordAnswer(false);  // only part of the cheapest class must be shed
   CHECK(AdmittedShare(pace, 1) == 1);
   CHECK(AdmittedShare(pace, 2) == 1);
   CHECK(AdmittedShare(pace, 0) > 0.7 * pace.admitted_share() - 0.05);
 }
 
-// Hosts serve 600 requests in a second, a hundred members bring 1,500 together. Each hears of its own few
-// alone, and late: when what waits has passed through.
-TEST_CASE("a hundred members in step settle near what the hosts can do, and none of it waits for long") {
+// The hosts serve 600 requests per second; a hundred members together send 1,500. Each member sees only its
+// own few answers, and only after the requests queued before them were served.
+TEST_CASE("a hundred members in step settle near the capacity of the hosts, with a short queue") {
   constexpr int kMembers = 100, kSteps = 600;
   constexpr double kServed = 6, kOffered = 15, kLateAt = 18;  // in steps of 10 ms
   std::vector<AdaptiveThrottle> members(kMembers, AdaptiveThrottle({1}));
   std::mt19937 draw(1);
   std::uniform_real_distribution<double> unit(0, 1);
   double waiting = 0, served = 0, longest = 0;
-  std::vector<std::vector<int>> late(kSteps + 200);  // members that hear a late answer in that step
+  std::vector<std::vector<int>> late(kSteps + 200);  // per step: the members that notice a late answer
   std::vector<std::vector<int>> good(kSteps + 200);
   for (int step = 0; step < kSteps; ++step) {
     for (AdaptiveThrottle& member : members) {
--- a/tests/rows/rows_test.cpp
+++ b/tests/rows/rows_test.cpp
@@ -18,7 +18,7 @@
   bool InUse() const { return used; }
 };
 
-TEST_CASE("a new name gets the first free row, and the row's old name is forgotten") {
+TEST_CASE("a new name gets the first free row, whose old name is then unknown") {
   std::mt19937 random(7);
   NamedRows<Named> rows;
   for (int step = 0; step < 2000; ++step) {
@@ -44,7 +44,7 @@
   void Reset() { items.clear(); }
 };
 
-TEST_CASE("an entry that went comes again as new, in the memory that it had") {
+TEST_CASE("an erased entry is reused in its initial state, with its memory") {
   RecyclingMap<int, Kept> map;
   map[1].items.assign(100, 1);
   const int* memory = map.find(1)->second.items.data();
--- a/tests/startup/start_history_test.cpp
+++ b/tests/startup/start_history_test.cpp
@@ -1,4 +1,4 @@
-// A start after a start after a start, told from one start.
+// Guards against a crash loop that starts without delay, and against delays where starts did not fail.
 #include "startup/start_history.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 constexpr std::int64_t kNow = 1'796'000'000'000;
 
-// As from one process to the next.
+// Serializes and parses `starts`, as between one process and the next.
 StartHistory ReadBack(const StartHistory& starts) {
   const auto read = StartHistory::Parse(starts.Serialize());
   REQUIRE(read);
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("starts in a row are held back from the fourth on, by steps that double up to a bound") {
+TEST_CASE("failed starts in a row are delayed from the fourth on; the delay doubles up to a limit") {
   StartHistory starts;
   std::vector<std::int64_t> held;
   for (int i = 0; i < 20; ++i) held.push_back((starts = ReadBack(starts)).Begin(kNow + i * 1000));
@@ -27,7 +27,8 @@
   CHECK(starts.Serialize().size() < 512);
 }
 
-TEST_CASE("one that got to full, was told to stop or lies long ago does not count, nor one that lies ahead") {
+TEST_CASE(
+    "a start that reached full, was stopped on request, is too old or lies in the future does not count") {
   const auto how = GENERATE(0, 1, 2, 3);
   StartHistory starts;
   for (int i = 0; i < 6; ++i) {
@@ -41,7 +42,7 @@
   CHECK(ReadBack(starts).Begin(kNow) == 0);
 }
 
-TEST_CASE("a start that is full for a minute makes up for all before it, and not for one after it") {
+TEST_CASE("a start that was full for a minute clears itself and all earlier starts, but not later ones") {
   StartHistory starts;
   for (int i = 0; i < 6; ++i) starts.Begin(kNow + i);
   starts.Full(kNow + 5);
@@ -52,7 +53,7 @@
   CHECK(ReadBack(starts).Serialize().find("1796000000006 started") != std::string::npos);
 }
 
-TEST_CASE("what is torn or not ours is none") {
+TEST_CASE("truncated or foreign text is not parsed") {
   StartHistory starts;
   starts.Begin(kNow);
   const std::string text = starts.Serialize();
--- a/tests/startup/startup_integration_test.cpp
+++ b/tests/startup/startup_integration_test.cpp
@@ -1,4 +1,5 @@
-// The built program on its way to full service, as the door and the log tell it; and in a crash loop.
+// Runs the built program through the start-up states, as the operator API and the log report them, and in a
+// crash loop.
 #include <catch2/catch.hpp>
 
 #include "support/peers.h"
@@ -34,7 +35,8 @@
 }  // namespace
 
 TEST_CASE(
-    "from a list that is partly gone and a silent discovery to full, each state at the door and in the log") {
+    "from a partly outdated list and a silent discovery to full: the operator API and the log report each "
+    "state") {
   Listener discovery, node, gone;
   const auto all = nlohmann::json::array({Machine("s-0", node.address()), Machine("s-1", gone.address())});
   gone.Close();
@@ -42,7 +44,7 @@
   config["operator"] = "127.0.0.1:0";
   Program program(config);
   Peer submitter = Dial(program.port()), watch = discovery.Accept(), carrier(-1);
-  watch.Read();  // and says nothing
+  watch.Read();  // discovery accepts the watch but sends nothing
   bool dialed = false;
   const auto ask = [&](const std::string& request) {
     submitter.Send(request);
@@ -70,7 +72,9 @@
   CHECK(state_changes == 4);
 }
 
-TEST_CASE("killed again and again before it is full, it holds back, says no, and ends at once when told to") {
+TEST_CASE(
+    "a program killed repeatedly before it is full delays its start, answers 503 and stops at once on "
+    "request") {
   Listener discovery;
   const StateFolder folder;
   auto config = ConfigOf(discovery.address(), 64, nullptr);
@@ -92,7 +96,7 @@
     CHECK(waiting.Exit() == 0);
     CHECK(waiting.AwaitLog("stopped").find(" serving ") == std::string::npos);
   }
-  // What is torn counts as none, and is told.
+  // A truncated file counts as no earlier start, and the log says so.
   std::ofstream(folder.path / "bitternmux-127.0.0.1-0.starts") << "bitternmux starts 1\n17960";
   Program free(config, folder.Arguments());
   free.port();
--- a/tests/startup/startup_tracker_test.cpp
+++ b/tests/startup/startup_tracker_test.cpp
@@ -1,5 +1,5 @@
-// The states from a start to full service: each line of the table in docs/design/comeback.md by its number,
-// and what holds whatever happens.
+// The states from a start to full service: each row of the table in docs/design/comeback.md by its number,
+// and the invariants under random events.
 #include "startup/startup_tracker.h"
 
 #include <catch2/catch.hpp>
@@ -30,7 +30,7 @@
     return *this;
   }
   TrackerFixture& Wait(double ms) { return now += ms, *this; }
-  // The states passed so far, and that each was entered in time.
+  // The states entered so far, in order.
   std::vector<ServiceState> States() {
     std::vector<ServiceState> out;
     for (const StateChange& change : startup.Changes(now, 0)) out.push_back(change.state);
@@ -43,16 +43,16 @@
 
 }  // namespace
 
-TEST_CASE("each line of the table of states") {
+TEST_CASE("each row of the table of transitions") {
   TrackerFixture fixture;
-  SECTION("1 and 2: remembered, or nothing remembered") {
+  SECTION("1 and 2: hosts are remembered, or none") {
     CHECK(fixture.Remembered(GENERATE(Names(), kAll)).States() == States{kRemembering});
   }
-  SECTION("3: discovery tells its list, whether hosts have answered or not") {
+  SECTION("3: discovery sends its list, whether hosts have answered or not") {
     fixture.Remembered(kAll).HostAnswered(GENERATE(0, 20), kAll).FromDiscovery(kAll);
     CHECK(fixture.States() == States{kRemembering, kListed});
   }
-  SECTION("4: refused or unanswered calls, and a watch that breaks, move nothing") {
+  SECTION("4: failed or unanswered calls and a broken watch change no state") {
     const bool listed = GENERATE(false, true);
     fixture.Remembered(kAll);
     if (listed) fixture.FromDiscovery(kAll);
@@ -68,20 +68,20 @@
     fixture.Remembered(kAll).FromDiscovery(kAll).HostAnswered(1, kAll);
     CHECK(fixture.States() == States{kRemembering, kListed, kLearning});
   }
-  SECTION("7: listed, and nothing is asked") {
+  SECTION("7: listed, without requests") {
     CHECK(fixture.Remembered(kAll).FromDiscovery(kAll).Wait(9'999).States() == States{kRemembering, kListed});
     CHECK(fixture.Wait(1).States() == States{kRemembering, kListed, kLearning});
   }
-  SECTION("8: enough answers of two hosts, or of the only one") {
+  SECTION("8: enough answers from two hosts, or from the only one") {
     const Names some = GENERATE(Names{"a"}, Names{"a", "b"});
     fixture.Remembered(some).FromDiscovery(some).HostAnswered(8, some);
     CHECK(fixture.States().back() == kLearning);
     CHECK(fixture.HostAnswered(1, some).States() == States{kRemembering, kListed, kLearning, kFull});
   }
-  SECTION("8: not by the answers of one of many") {
+  SECTION("8: answers from one of several hosts are not enough") {
     CHECK(fixture.Remembered(kAll).FromDiscovery(kAll).HostAnswered(50, {"b"}).States().back() == kLearning);
   }
-  SECTION("9: thin traffic") {
+  SECTION("9: low traffic") {
     fixture.Remembered(kAll).FromDiscovery(kAll).HostAnswered(1, kAll);
     CHECK(fixture.Wait(19'999).States().back() == kLearning);
     CHECK(fixture.Wait(1).States().back() == kFull);
@@ -92,16 +92,16 @@
     CHECK(fixture.States().back() == kListed);
     CHECK(fixture.HostAnswered(9, {"x", "y"}).States().back() == kFull);
   }
-  SECTION("11: a list with one of them, or the same again") {
+  SECTION("11: a list with one of the hosts that have answered, or the same list again") {
     fixture.Remembered(kAll).FromDiscovery(kAll).HostAnswered(20, kAll);
     const auto before = fixture.States();
     CHECK(fixture.FromDiscovery(GENERATE(Names{"x", "a"}, kAll)).States() == before);
   }
-  SECTION("12: the first list comes when time alone has led on") {
+  SECTION("12: the first list arrives after transitions by time alone") {
     CHECK(fixture.Remembered(kAll).Wait(50'000).States().back() == kFull);
     CHECK(fixture.FromDiscovery(kAll).States() == States{kRemembering, kLearning, kFull, kListed});
   }
-  SECTION("13: without a host no time leads on, and a stay counts from when there is one") {
+  SECTION("13: without hosts there are no transitions by time; a stay counts from the first host on") {
     CHECK(fixture.Remembered({}).Wait(100'000).States() == States{kRemembering});
     CHECK(fixture.FromDiscovery({}).Wait(100'000).States() == States{kRemembering, kListed});
     CHECK(fixture.FromDiscovery(kAll).Wait(9'999).States() == States{kRemembering, kListed});
@@ -109,7 +109,7 @@
   }
 }
 
-TEST_CASE("whatever happens, no step but the table's, no stay that is too long, and a bounded memory") {
+TEST_CASE("random events cause only transitions of the table, no stay over its limit, and bounded memory") {
   const std::vector<std::pair<ServiceState, ServiceState>> allowed = {
       {kRemembering, kListed}, {kRemembering, kLearning}, {kListed, kLearning},
       {kLearning, kListed},    {kLearning, kFull},        {kFull, kListed}};
--- a/tests/subset/host_order_test.cpp
+++ b/tests/subset/host_order_test.cpp
@@ -13,7 +13,7 @@
   bool fits, counts;
 };
 
-// What Pick says, with a look at every host.
+// The expected result of Pick, computed by examining every host.
 std::vector<int> ReferencePick(const std::vector<Host>& hosts, std::vector<int> order, std::size_t size) {
   std::erase_if(order, [&](int i) { return !hosts[i].fits; });
   std::size_t cut = 0, good = 0;
@@ -33,7 +33,7 @@
   return order;
 }
 
-TEST_CASE("what is picked is what a look at every host would pick, whatever fits and counts") {
+TEST_CASE("Pick returns the same rows as an examination of every host, whatever fits and counts") {
   std::mt19937 random(1);
   const auto below = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
   for (int round = 0; round < 20000; ++round) {
@@ -57,7 +57,9 @@
   }
 }
 
-TEST_CASE("hosts behind the part are not looked at, nor are those of one zone in the search for another") {
+TEST_CASE(
+    "Pick does not examine hosts behind the selected ones, nor hosts of the same zone when it searches "
+    "another") {
   HostOrder order;
   for (int i = 0; i < 1000; ++i) order.Add(i, i, {i == 990, 0, 0});
   order.Build();
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -23,18 +23,18 @@
   return rows;
 }
 
-TEST_CASE("hosts are in the first places of instances evenly, and a larger one by its size") {
+TEST_CASE("each host comes first for an equal number of instances, a larger host in proportion to its size") {
   std::map<int, int> first;
   for (std::uint64_t seed = 0; seed < 4200; ++seed)
     ++first[OrderForSeed(seed, UpTo(40), /*large=*/7).front()];
-  // Of 42 shares the large host has 3: 300 of the 4,200 instances, the others 100 each.
+  // The large host has 3 of 42 shares, so 300 of the 4,200 instances; the others have 100 each.
   for (const auto& [host, count] : first) {
     INFO(host);
     CHECK(count == Approx(host == 7 ? 300 : 100).margin(host == 7 ? 70 : 45));
   }
 }
 
-TEST_CASE("a host that goes moves no other, and comes back to its place") {
+TEST_CASE("a host that leaves moves no other host, and returns to its position") {
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
     std::vector<int> order = OrderForSeed(seed, UpTo(30));
     std::vector<int> without = UpTo(30);
@@ -45,13 +45,13 @@
   }
 }
 
-TEST_CASE("a small tier looks at all hosts, and a larger one at less without a step") {
+TEST_CASE("instances of a small tier rank all hosts, and fewer as the tier grows, without jumps") {
   for (int tier = 1; tier <= 3; ++tier) CHECK(Subset::SizeFor(50, tier) == 50);
   for (int tier = 3; tier < 1000; ++tier) {
     const auto now = Subset::SizeFor(50, tier), next = Subset::SizeFor(50, tier + 1);
     CHECK(next <= now);
     CHECK(now - next <= now / 4 + 1);
-    CHECK(now * static_cast<std::size_t>(tier) >= 150);  // each host is looked at by three on the mean
+    CHECK(now * static_cast<std::size_t>(tier) >= 150);  // on average three instances rank each host
   }
   CHECK(Subset::SizeFor(50, 1000) == 3);
   CHECK(Subset::SizeFor(2, 1000) == 2);
