--- a/src/membership/list_call_schedule.h
+++ b/src/membership/list_call_schedule.h
@@ -39,20 +39,20 @@
   void ListReceived() {
     if (!in_flight_) return;
     in_flight_ = false;
-    subscribed_ = true;
-    refusals_ = 0;
+    watching_ = true;
+    failures_ = 0;
   }
   // The call failed, or the watch broke. Returns when the next call is due.
   double CallFailed(double now, double chance) {
-    const double first = std::min(kMaxFirstRetryMs, MaxWaitMs() / 4);
-    const double base = std::min(MaxWaitMs(), first * (1 << std::min(refusals_, 4)));
-    ++refusals_;
-    const double next = now + base * (0.5 + 0.5 * chance);
-    next_call_ms_ = in_flight_ ? std::min(next_call_ms_, next) : next;
-    subscribed_ = in_flight_ = false;
+    const double first_retry = std::min(kMaxFirstRetryMs, MaxWaitMs() / 4);
+    const double backoff = std::min(MaxWaitMs(), first_retry * (1 << std::min(failures_, 4)));
+    ++failures_;
+    const double next_call = now + backoff * (0.5 + 0.5 * chance);
+    next_call_ms_ = in_flight_ ? std::min(next_call_ms_, next_call) : next_call;
+    watching_ = in_flight_ = false;
     return next_call_ms_;
   }
-  bool Due(double now) const { return !subscribed_ && now >= next_call_ms_ - kTimeToleranceMs; }
+  bool Due(double now) const { return !watching_ && now >= next_call_ms_ - kTimeToleranceMs; }
 
  private:
   static constexpr double kTimeToleranceMs = 1e-6;  // absorbs rounding when times are compared
@@ -61,8 +61,8 @@
 
   const double& ask_within_ms_;
   bool in_flight_ = false;
-  bool subscribed_ = false;
-  int refusals_ = 0;
+  bool watching_ = false;
+  int failures_ = 0;
   double next_call_ms_ = 0;
 };
 
--- a/src/pace/adaptive_throttle.h
+++ b/src/pace/adaptive_throttle.h
@@ -24,10 +24,10 @@
       : worths_(std::move(worths)), recent_requests_(worths_.size(), 1) {}
 
   // Replaces the classes. `like`: for each new class the old one whose request count it inherits, or -1.
-  void Retune(std::vector<double> worths, const std::vector<int>& like) {
+  void Retune(std::vector<double> worths, const std::vector<int>& inherits_from) {
     std::vector<double> recent;
-    for (const int from : like)
-      recent.push_back(from >= 0 ? recent_requests_[static_cast<std::size_t>(from)] : 1);
+    for (const int old_class : inherits_from)
+      recent.push_back(old_class >= 0 ? recent_requests_[static_cast<std::size_t>(old_class)] : 1);
     worths_ = std::move(worths);
     recent_requests_ = std::move(recent);
   }
@@ -36,17 +36,19 @@
   // Each class keeps most of an equal share, so that a class of higher worth cannot starve it. The remaining
   // capacity goes to the classes in order of worth, highest first, by their shares of the recent requests.
   bool Admits(int klass, double chance) {
-    const auto of = static_cast<std::size_t>(klass);
+    const auto index = static_cast<std::size_t>(klass);
     for (double& recent : recent_requests_) recent *= kCountDecay;
-    recent_requests_[of] += 1;
-    double all = 0, dearer = 0;
+    recent_requests_[index] += 1;
+    double total = 0, higher_worth = 0;
     for (std::size_t i = 0; i < recent_requests_.size(); ++i) {
-      all += recent_requests_[i];
-      if (worths_[i] > worths_[of] || (worths_[i] == worths_[of] && i < of)) dearer += recent_requests_[i];
+      total += recent_requests_[i];
+      if (worths_[i] > worths_[index] || (worths_[i] == worths_[index] && i < index))
+        higher_worth += recent_requests_[i];
     }
-    const double fair = kEqualShare * admitted_share_;
-    return chance <
-           fair + std::max(0.0, (admitted_share_ - fair) * all - (1 - fair) * dearer) / recent_requests_[of];
+    const double guaranteed_share = kGuaranteedFraction * admitted_share_;
+    return chance < guaranteed_share + std::max(0.0, (admitted_share_ - guaranteed_share) * total -
+                                                         (1 - guaranteed_share) * higher_worth) /
+                                           recent_requests_[index];
   }
 
   // An answer arrived in time, or is late: a late one is reported when that is known, even before it arrives.
@@ -63,9 +65,9 @@
   // admitted_share) of the answers are late. With everything admitted that is a third, so a few slow hosts
   // reduce nothing.
   static constexpr double kIncrease = 0.1, kDecreaseFactor = 0.8;
-  static constexpr double kMinAdmittedShare = 0.03;  // shed requests give no answers to measure by
-  static constexpr double kEqualShare = 0.7;         // part of the admitted share that each class gets alike
-  static constexpr double kCountDecay = 0.99;        // applied to the counts of all classes at each request
+  static constexpr double kMinAdmittedShare = 0.03;   // shed requests give no answers to measure by
+  static constexpr double kGuaranteedFraction = 0.7;  // part of the admitted share that each class gets alike
+  static constexpr double kCountDecay = 0.99;         // applied to the counts of all classes at each request
 
   std::vector<double> worths_;
   std::vector<double> recent_requests_;  // by class, with exponential decay
--- a/src/rows/ranking.h
+++ b/src/rows/ranking.h
@@ -25,10 +25,10 @@
 
   // The item at position `rank` (from 0, below size()) of the sorted order.
   const Item& At(std::size_t rank) {
-    const auto after = [](const Item& a, const Item& b) { return b < a; };
-    if (sorted_ == 0) std::make_heap(items_.begin(), items_.end(), after);
+    const auto greater = [](const Item& a, const Item& b) { return b < a; };
+    if (sorted_ == 0) std::make_heap(items_.begin(), items_.end(), greater);
     for (; sorted_ <= rank; ++sorted_)  // moved to the back, behind the items not sorted yet
-      std::pop_heap(items_.begin(), items_.end() - static_cast<std::ptrdiff_t>(sorted_), after);
+      std::pop_heap(items_.begin(), items_.end() - static_cast<std::ptrdiff_t>(sorted_), greater);
     return items_[items_.size() - 1 - rank];
   }
 
--- a/src/rows/row_set.h
+++ b/src/rows/row_set.h
@@ -14,16 +14,16 @@
 class RowSet {
  public:
   bool Has(int row) const {
-    const auto at = static_cast<std::size_t>(row);
-    return at < in_.size() && in_[at];
+    const auto index = static_cast<std::size_t>(row);
+    return index < is_member_.size() && is_member_[index];
   }
 
   // `row` is 0 or above. Has no effect if the set contains it already.
   void Add(int row) {
     if (Has(row)) return;
-    const auto at = static_cast<std::size_t>(row);
-    if (at >= in_.size()) in_.resize(at + 1);
-    in_[at] = true;
+    const auto index = static_cast<std::size_t>(row);
+    if (index >= is_member_.size()) is_member_.resize(index + 1);
+    is_member_[index] = true;
     rows_.push_back(row);
   }
 
@@ -31,9 +31,9 @@
   template <class Predicate>
   void EraseIf(const Predicate& predicate) {
     std::erase_if(rows_, [&](int row) {
-      const bool out = predicate(row);
-      if (out) in_[static_cast<std::size_t>(row)] = false;
-      return out;
+      const bool erased = predicate(row);
+      if (erased) is_member_[static_cast<std::size_t>(row)] = false;
+      return erased;
     });
   }
 
@@ -46,7 +46,7 @@
 
  private:
   std::vector<int> rows_;
-  std::vector<bool> in_;  // by row
+  std::vector<bool> is_member_;  // by row
 };
 
 }  // namespace cartspring
--- a/src/stall/stall_detector.h
+++ b/src/stall/stall_detector.h
@@ -20,9 +20,9 @@
   // Call this at least about every 50 ms, and before any decision that depends on received data. Returns true
   // if the process stalled since the previous call: then the data for these decisions must be read first.
   bool DetectStall(double now_ms) {
-    const double before_ms = std::exchange(last_check_ms_, now_ms);
-    if (now_ms - before_ms < kMinStallMs) return false;
-    stall_began_ms_ = before_ms;
+    const double previous_ms = std::exchange(last_check_ms_, now_ms);
+    if (now_ms - previous_ms < kMinStallMs) return false;
+    stall_began_ms_ = previous_ms;
     stall_ended_ms_ = now_ms;
     return true;
   }
--- a/src/startup/start_history.cpp
+++ b/src/startup/start_history.cpp
@@ -6,8 +6,8 @@
 namespace bitternmux {
 namespace {
 
-constexpr std::string_view kHead = "bitternmux starts 1", kEnd = "end";
-constexpr std::string_view kStarted = " started", kFull = " full";
+constexpr std::string_view kHeader = "bitternmux starts 1", kEnd = "end";
+constexpr std::string_view kStartedMark = " started", kFullMark = " full";
 
 // Removes and returns the first line of `text`; nullopt if it has no line end.
 std::optional<std::string_view> TakeLine(std::string_view& text) {
@@ -21,25 +21,25 @@
 }  // namespace
 
 std::optional<StartHistory> StartHistory::Parse(std::string_view text) {
-  if (TakeLine(text) != kHead) return std::nullopt;
+  if (TakeLine(text) != kHeader) return std::nullopt;
   StartHistory out;
   while (const auto line = TakeLine(text)) {
     if (*line == kEnd) return text.empty() ? std::optional(out) : std::nullopt;
     if (out.starts_.size() == kMaxStarts) return std::nullopt;
     Start start;
     const auto [end, error] = std::from_chars(line->data(), line->data() + line->size(), start.unix_ms);
-    const std::string_view word(end, static_cast<std::size_t>(line->data() + line->size() - end));
-    if (error != std::errc() || (word != kStarted && word != kFull)) return std::nullopt;
-    start.full = word == kFull;
+    const std::string_view mark(end, static_cast<std::size_t>(line->data() + line->size() - end));
+    if (error != std::errc() || (mark != kStartedMark && mark != kFullMark)) return std::nullopt;
+    start.full = mark == kFullMark;
     out.starts_.push_back(start);
   }
   return std::nullopt;  // truncated: the end line is missing
 }
 
 std::string StartHistory::Serialize() const {
-  std::string out(kHead);
+  std::string out(kHeader);
   for (const Start& start : starts_)
-    out.append("\n").append(std::to_string(start.unix_ms)).append(start.full ? kFull : kStarted);
+    out.append("\n").append(std::to_string(start.unix_ms)).append(start.full ? kFullMark : kStartedMark);
   return out.append("\n").append(kEnd).append("\n");
 }
 
@@ -54,16 +54,16 @@
   return std::min(kMaxDelayMs, kFirstDelayMs << (failed_ - kFreeFailures - 1));
 }
 
-void StartHistory::Full(std::int64_t began) {
-  for (Start& start : starts_) start.full |= start.unix_ms == began;
+void StartHistory::Full(std::int64_t start_unix_ms) {
+  for (Start& start : starts_) start.full |= start.unix_ms == start_unix_ms;
 }
 
-void StartHistory::Forget(std::int64_t began) {
-  std::erase_if(starts_, [&](const Start& start) { return start.unix_ms <= began; });
+void StartHistory::Forget(std::int64_t start_unix_ms) {
+  std::erase_if(starts_, [&](const Start& start) { return start.unix_ms <= start_unix_ms; });
 }
 
-void StartHistory::Stopped(std::int64_t began) {
-  std::erase_if(starts_, [&](const Start& start) { return start.unix_ms == began; });
+void StartHistory::Stopped(std::int64_t start_unix_ms) {
+  std::erase_if(starts_, [&](const Start& start) { return start.unix_ms == start_unix_ms; });
 }
 
 }  // namespace bitternmux
--- a/src/startup/start_history.h
+++ b/src/startup/start_history.h
@@ -38,11 +38,11 @@
   // Number of earlier starts that counted as failed when Begin was called.
   std::size_t failed() const { return failed_; }
   // The process that started at `began` has reached *full*.
-  void Full(std::int64_t began);
+  void Full(std::int64_t start_unix_ms);
   // That process has been *full* for kResetAfterFullMs: drops its start and all earlier ones.
-  void Forget(std::int64_t began);
+  void Forget(std::int64_t start_unix_ms);
   // That process was stopped on request, so its end is not a failure.
-  void Stopped(std::int64_t began);
+  void Stopped(std::int64_t start_unix_ms);
 
  private:
   struct Start {
--- a/src/startup/startup_tracker.h
+++ b/src/startup/startup_tracker.h
@@ -48,12 +48,13 @@
     hosts_ = hosts.size();
     if (remembered) return;
     calls_.ListReceived();
-    const bool knew = !answered_.empty();
+    const bool had_answers = !answered_.empty();
     std::erase_if(answered_, [&](const std::string& name) {
       return std::ranges::none_of(hosts, [&](const auto& host) { return name_of(host) == name; });
     });
-    const bool replaced = knew && answered_.empty();  // none of the hosts learned about remains
-    if (!list_received_ || (replaced && state_ != ServiceState::kListed)) Enter(ServiceState::kListed, now);
+    const bool all_replaced = had_answers && answered_.empty();  // none of the hosts learned about remains
+    if (!list_received_ || (all_replaced && state_ != ServiceState::kListed))
+      Enter(ServiceState::kListed, now);
     list_received_ = true;
   }
   // `host` has answered a request.
--- a/src/subset/host_order.h
+++ b/src/subset/host_order.h
@@ -26,11 +26,11 @@
   void Add(int row, double sort_key, const Traits& traits) { hosts_.push_back({sort_key, row, traits, {}}); }
   void Build() {
     std::ranges::sort(hosts_, {}, [](const Entry& host) { return std::pair(host.sort_key, host.row); });
-    for (std::size_t at = hosts_.size(); at-- > 0;) {
-      Entry& host = hosts_[at];
+    for (std::size_t position = hosts_.size(); position-- > 0;) {
+      Entry& host = hosts_[position];
       for (std::size_t t = 0; t < kTraits; ++t) {
-        const bool alike = at + 1 < hosts_.size() && hosts_[at + 1].traits[t] == host.traits[t];
-        host.next_different[t] = alike ? hosts_[at + 1].next_different[t] : at + 1;
+        const bool alike = position + 1 < hosts_.size() && hosts_[position + 1].traits[t] == host.traits[t];
+        host.next_different[t] = alike ? hosts_[position + 1].next_different[t] : position + 1;
       }
     }
     for (const Entry& host : hosts_) rows_.push_back(host.row);
@@ -50,29 +50,29 @@
   template <class Fits, class Counts>
   bool Pick(std::size_t size, const Fits& fits, const Counts& counts, std::vector<int>& out) const {
     out.clear();
-    std::array<bool, kTraits> unlike{};
+    std::array<bool, kTraits> has_other{};
     const Entry* first = nullptr;
-    std::size_t good = 0, at = 0;
-    const auto take = [&](const Entry& host, bool counted) {
+    std::size_t counted_rows = 0, position = 0;
+    const auto append = [&](const Entry& host, bool counted) {
       if (first == nullptr) first = &host;
-      for (std::size_t t = 0; t < kTraits; ++t) unlike[t] |= counted && host.traits[t] != first->traits[t];
+      for (std::size_t t = 0; t < kTraits; ++t) has_other[t] |= counted && host.traits[t] != first->traits[t];
       out.push_back(host.row);
     };
-    for (; at < hosts_.size() && good < size; ++at) {
-      if (!fits(hosts_[at].row)) continue;
-      const bool counted = counts(hosts_[at].row);
-      good += counted;
-      take(hosts_[at], counted);
+    for (; position < hosts_.size() && counted_rows < size; ++position) {
+      if (!fits(hosts_[position].row)) continue;
+      const bool counted = counts(hosts_[position].row);
+      counted_rows += counted;
+      append(hosts_[position], counted);
     }
-    if (at == hosts_.size()) return true;
+    if (position == hosts_.size()) return true;
     for (std::size_t t = 0; t < kTraits; ++t) {
-      std::size_t next = unlike[t] ? hosts_.size() : at;
+      std::size_t next = has_other[t] ? hosts_.size() : position;
       while (next < hosts_.size()) {
         const Entry& host = hosts_[next];
         if (host.traits[t] == first->traits[t]) {
           next = host.next_different[t];
         } else if (fits(host.row) && counts(host.row)) {
-          take(host, true);
+          append(host, true);
           break;
         } else {
           ++next;
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -29,15 +29,15 @@
   // instance's seed and the host's name. Over all instances a host precedes another with a probability in
   // proportion to their shares (`share` is above 0).
   double SortKey(const std::string& host, double share) const {
-    const std::uint64_t drawn = Mix(seed_ ^ Mix(std::hash<std::string>()(host)));
-    return -std::log((static_cast<double>(drawn >> 11) + 0.5) * 0x1p-53) / share;
+    const std::uint64_t mixed = Mix(seed_ ^ Mix(std::hash<std::string>()(host)));
+    return -std::log((static_cast<double>(mixed >> 11) + 0.5) * 0x1p-53) / share;
   }
 
   // How many hosts an instance ranks: a few, and enough that each host is ranked by a few instances on
   // average. In a small tier each instance ranks all hosts; the larger the tier, the fewer.
   static std::size_t SizeFor(std::size_t hosts, int instances) {
-    const double shared = kMinDegree * static_cast<double>(hosts) / std::max(1, instances);
-    return std::min(hosts, static_cast<std::size_t>(std::ceil(std::max(kMinDegree, shared))));
+    const double per_instance = kMinDegree * static_cast<double>(hosts) / std::max(1, instances);
+    return std::min(hosts, static_cast<std::size_t>(std::ceil(std::max(kMinDegree, per_instance))));
   }
 
  private:
--- a/tests/pace/adaptive_throttle_test.cpp
+++ b/tests/pace/adaptive_throttle_test.cpp
@@ -7,12 +7,12 @@
 namespace cartspring {
 namespace {
 
-double AdmittedShare(AdaptiveThrottle& pace, int klass) {
+double AdmittedShare(AdaptiveThrottle& throttle, int klass) {
   int admitted = 0;
   for (int i = 0; i < 300; ++i) {
     // The classes alternate, so that each is a third of the requests.
     for (int k = 0; k < 3; ++k) {
-      const bool in = pace.Admits(k, (i + 0.5) / 300);
+      const bool in = throttle.Admits(k, (i + 0.5) / 300);
       if (k == klass) admitted += in;
     }
   }
@@ -20,39 +20,39 @@
 }
 
 TEST_CASE("a member that sees no late answers accepts all requests") {
-  AdaptiveThrottle pace({2, 8, 5});
-  for (int i = 0; i < 100; ++i) pace.RecordAnswer(false);
-  for (int k = 0; k < 3; ++k) CHECK(AdmittedShare(pace, k) == 1);
+  AdaptiveThrottle throttle({2, 8, 5});
+  for (int i = 0; i < 100; ++i) throttle.RecordAnswer(false);
+  for (int k = 0; k < 3; ++k) CHECK(AdmittedShare(throttle, k) == 1);
 }
 
 TEST_CASE(
     "a few slow hosts leave the admitted share high, many late answers lower it, and it recovers by itself") {
-  AdaptiveThrottle pace({2, 8, 5});
-  for (int i = 0; i < 400; ++i) pace.RecordAnswer(i % 5 == 0);
-  CHECK(pace.admitted_share() > 0.7);
-  for (int i = 0; i < 20; ++i) pace.RecordAnswer(true);
-  CHECK(pace.admitted_share() < 0.1);
-  CHECK(pace.admitted_share() > 0);  // otherwise no further answers could be measured
-  for (int i = 0; i < 12; ++i) pace.RecordAnswer(false);
-  CHECK(pace.admitted_share() == 1);
+  AdaptiveThrottle throttle({2, 8, 5});
+  for (int i = 0; i < 400; ++i) throttle.RecordAnswer(i % 5 == 0);
+  CHECK(throttle.admitted_share() > 0.7);
+  for (int i = 0; i < 20; ++i) throttle.RecordAnswer(true);
+  CHECK(throttle.admitted_share() < 0.1);
+  CHECK(throttle.admitted_share() > 0);  // otherwise no further answers could be measured
+  for (int i = 0; i < 12; ++i) throttle.RecordAnswer(false);
+  CHECK(throttle.admitted_share() == 1);
 }
 
 TEST_CASE("the class of least worth is shed first, that of most worth last, and none is starved") {
-  AdaptiveThrottle pace({2, 8, 5});
-  while (pace.admitted_share() > 0.55)
-    pace.RecordAnswer(true);  // 0.51: capacity for one and a half of the three classes
-  const double admitted_share = pace.admitted_share(), cheapest = AdmittedShare(pace, 0),
-               dearest = AdmittedShare(pace, 1), between = AdmittedShare(pace, 2);
+  AdaptiveThrottle throttle({2, 8, 5});
+  while (throttle.admitted_share() > 0.55)
+    throttle.RecordAnswer(true);  // 0.51: capacity for one and a half of the three classes
+  const double admitted_share = throttle.admitted_share(), cheapest = AdmittedShare(throttle, 0),
+               dearest = AdmittedShare(throttle, 1), between = AdmittedShare(throttle, 2);
   CHECK(cheapest + dearest + between ==
         Approx(3 * admitted_share).margin(0.1));  // the total matches the admitted share
   CHECK(cheapest == Approx(0.7 * admitted_share).margin(0.05));
   CHECK(dearest > 1.5 * admitted_share);
   CHECK(between >= cheapest - 0.05);
-  while (pace.admitted_share() < 0.9)
-    pace.RecordAnswer(false);  // only part of the cheapest class must be shed
-  CHECK(AdmittedShare(pace, 1) == 1);
-  CHECK(AdmittedShare(pace, 2) == 1);
-  CHECK(AdmittedShare(pace, 0) > 0.7 * pace.admitted_share() - 0.05);
+  while (throttle.admitted_share() < 0.9)
+    throttle.RecordAnswer(false);  // only part of the cheapest class must be shed
+  CHECK(AdmittedShare(throttle, 1) == 1);
+  CHECK(AdmittedShare(throttle, 2) == 1);
+  CHECK(AdmittedShare(throttle, 0) > 0.7 * throttle.admitted_share() - 0.05);
 }
 
 // The hosts serve 600 requests per second; a hundred members together send 1,500. Each member sees only its
--- a/tests/rows/rows_test.cpp
+++ b/tests/rows/rows_test.cpp
@@ -10,7 +10,7 @@
 namespace cartspring {
 namespace {
 
-struct Named {
+struct NamedRow {
   int row = -1;
   std::string name;
   bool used = false;
@@ -20,32 +20,32 @@
 
 TEST_CASE("a new name gets the first free row, whose old name is then unknown") {
   std::mt19937 random(7);
-  NamedRows<Named> rows;
+  NamedRows<NamedRow> rows;
   for (int step = 0; step < 2000; ++step) {
     if (rows.size() > 0 && random() % 2 == 0) {
-      Named& out = rows[static_cast<int>(random() % static_cast<unsigned>(rows.size()))];
-      out.used = false;
-      rows.MarkFree(out.row);
+      NamedRow& released = rows[static_cast<int>(random() % static_cast<unsigned>(rows.size()))];
+      released.used = false;
+      rows.MarkFree(released.row);
     }
-    const auto free = std::ranges::find_if(rows, [](const Named& row) { return !row.used; });
-    const std::string old = free != rows.end() ? free->name : "";
+    const auto free = std::ranges::find_if(rows, [](const NamedRow& row) { return !row.used; });
+    const std::string old_name = free != rows.end() ? free->name : "";
     const auto first = static_cast<int>(free - rows.begin());
-    Named& row = rows.Add(std::to_string(step));
+    NamedRow& row = rows.Add(std::to_string(step));
     CHECK(row.row == first);
     CHECK(rows.Find(std::to_string(step)) == first);
-    CHECK(rows.Find(old) == NamedRows<Named>::kNone);
+    CHECK(rows.Find(old_name) == NamedRows<NamedRow>::kNone);
     row.name = std::to_string(step);
     row.used = true;
   }
 }
 
-struct Kept {
+struct Reusable {
   std::vector<int> items;
   void Reset() { items.clear(); }
 };
 
 TEST_CASE("an erased entry is reused in its initial state, with its memory") {
-  RecyclingMap<int, Kept> map;
+  RecyclingMap<int, Reusable> map;
   map[1].items.assign(100, 1);
   const int* memory = map.find(1)->second.items.data();
   map[2].items.push_back(5);
--- a/tests/startup/start_history_test.cpp
+++ b/tests/startup/start_history_test.cpp
@@ -19,11 +19,11 @@
 
 TEST_CASE("failed starts in a row are delayed from the fourth on; the delay doubles up to a limit") {
   StartHistory starts;
-  std::vector<std::int64_t> held;
-  for (int i = 0; i < 20; ++i) held.push_back((starts = ReadBack(starts)).Begin(kNow + i * 1000));
-  CHECK(std::vector(held.begin(), held.begin() + 10) ==
+  std::vector<std::int64_t> delays;
+  for (int i = 0; i < 20; ++i) delays.push_back((starts = ReadBack(starts)).Begin(kNow + i * 1000));
+  CHECK(std::vector(delays.begin(), delays.begin() + 10) ==
         std::vector<std::int64_t>{0, 0, 0, 500, 1000, 2000, 4000, 8000, 16'000, 16'000});
-  CHECK(held.back() == StartHistory::kMaxDelayMs);
+  CHECK(delays.back() == StartHistory::kMaxDelayMs);
   CHECK(starts.Serialize().size() < 512);
 }
 
--- a/tests/subset/host_order_test.cpp
+++ b/tests/subset/host_order_test.cpp
@@ -63,12 +63,12 @@
   HostOrder order;
   for (int i = 0; i < 1000; ++i) order.Add(i, i, {i == 990, 0, 0});
   order.Build();
-  int looks = 0;
+  int examined = 0;
   std::vector<int> picked;
   order.Pick(
-      3, [&](int) { return ++looks > 0; }, [](int) { return true; }, picked);
+      3, [&](int) { return ++examined > 0; }, [](int) { return true; }, picked);
   CHECK(picked == std::vector<int>{0, 1, 2, 990});
-  CHECK(looks == 4);
+  CHECK(examined == 4);
 }
 
 }  // namespace
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -48,10 +48,10 @@
 TEST_CASE("instances of a small tier rank all hosts, and fewer as the tier grows, without jumps") {
   for (int tier = 1; tier <= 3; ++tier) CHECK(Subset::SizeFor(50, tier) == 50);
   for (int tier = 3; tier < 1000; ++tier) {
-    const auto now = Subset::SizeFor(50, tier), next = Subset::SizeFor(50, tier + 1);
-    CHECK(next <= now);
-    CHECK(now - next <= now / 4 + 1);
-    CHECK(now * static_cast<std::size_t>(tier) >= 150);  // on average three instances rank each host
+    const auto smaller_tier = Subset::SizeFor(50, tier), larger_tier = Subset::SizeFor(50, tier + 1);
+    CHECK(larger_tier <= smaller_tier);
+    CHECK(smaller_tier - larger_tier <= smaller_tier / 4 + 1);
+    CHECK(smaller_tier * static_cast<std::size_t>(tier) >= 150);  // on average three instances rank each host
   }
   CHECK(Subset::SizeFor(50, 1000) == 3);
   CHECK(Subset::SizeFor(2, 1000) == 2);
