--- a/src/pace/adaptive_throttle.h
+++ b/src/pace/adaptive_throttle.h
@@ -2,9 +2,9 @@
 //
 // In a large tier a limit on the requests in flight per host has no effect: each instance has none or one at
 // a host, and a hundred instances still overload it. What each instance does notice, within one answer time
-// and even at low traffic, is that answers are late from every host. So each reduces the share it accepts at
-// once: multiplicative decrease for each late answer, additive increase for each timely one. All instances
-// together settle where about a third of the answers are late.
+// and even at low traffic, is that answers are late from every host. So each adapts the share it accepts
+// immediately: multiplicative decrease for each late answer, additive increase for each timely one. All
+// instances together settle where about a third of the answers are late.
 //
 // Does no I/O, reads no clock and generates no random numbers.
 #ifndef BITTERNMUX_SRC_PACE_ADAPTIVE_THROTTLE_H_
@@ -23,7 +23,8 @@
   explicit AdaptiveThrottle(std::vector<double> worths)
       : worths_(std::move(worths)), recent_requests_(worths_.size(), 1) {}
 
-  // Replaces the classes. `like`: for each new class the old one whose request count it inherits, or -1.
+  // Replaces the classes. `inherits_from`: for each new class the old one whose request count it continues,
+  // or -1 for none.
   void Retune(std::vector<double> worths, const std::vector<int>& inherits_from) {
     std::vector<double> recent;
     for (const int old_class : inherits_from)
@@ -51,7 +52,7 @@
                                            recent_requests_[index];
   }
 
-  // An answer arrived in time, or is late: a late one is reported when that is known, even before it arrives.
+  // Records an answer that arrived in time, or one that is known to be late, possibly before it arrives.
   void RecordAnswer(bool late) {
     admitted_share_ = late ? std::max(kMinAdmittedShare, admitted_share_ * kDecreaseFactor)
                            : std::min(1.0, admitted_share_ + kIncrease);
@@ -66,11 +67,11 @@
   // reduce nothing.
   static constexpr double kIncrease = 0.1, kDecreaseFactor = 0.8;
   static constexpr double kMinAdmittedShare = 0.03;   // shed requests give no answers to measure by
-  static constexpr double kGuaranteedFraction = 0.7;  // part of the admitted share that each class gets alike
+  static constexpr double kGuaranteedFraction = 0.7;  // of the admitted share: what each class keeps at least
   static constexpr double kCountDecay = 0.99;         // applied to the counts of all classes at each request
 
   std::vector<double> worths_;
-  std::vector<double> recent_requests_;  // by class, with exponential decay
+  std::vector<double> recent_requests_;  // by class, decaying
   double admitted_share_ = 1;
 };
 
--- a/src/rows/named_rows.h
+++ b/src/rows/named_rows.h
@@ -30,9 +30,9 @@
     return found != index_.end() ? found->second : kNone;
   }
 
-  // Resets the first free row and assigns it to `name`, which must not have a row yet. A row that went out of
-  // use is found only after MarkFree was called for it, or RescanFromStart after that. All additions between
-  // two calls of RescanFromStart together cost one pass over the rows.
+  // Resets the first free row and assigns it to `name`, which must not have a row yet. A row that is no
+  // longer in use is found once MarkFree was called for it or RescanFromStart was called. All additions
+  // between two calls of RescanFromStart together cost one pass over the rows.
   Row& Add(const std::string& name) {
     while (first_free_ < size() && (*this)[first_free_].InUse()) ++first_free_;
     if (first_free_ == size()) rows_.emplace_back();
--- a/src/startup/startup_tracker.h
+++ b/src/startup/startup_tracker.h
@@ -52,7 +52,7 @@
     std::erase_if(answered_, [&](const std::string& name) {
       return std::ranges::none_of(hosts, [&](const auto& host) { return name_of(host) == name; });
     });
-    const bool all_replaced = had_answers && answered_.empty();  // none of the hosts learned about remains
+    const bool all_replaced = had_answers && answered_.empty();  // what was learned applies to no host
     if (!list_received_ || (all_replaced && state_ != ServiceState::kListed))
       Enter(ServiceState::kListed, now);
     list_received_ = true;
@@ -90,6 +90,7 @@
     return out;
   }
 
+  // The longest time in a state while at least one host is known, in ms.
   static constexpr double MaxStayMs(ServiceState state) {
     switch (state) {
       case ServiceState::kRemembering:
--- a/src/subset/host_order.h
+++ b/src/subset/host_order.h
@@ -87,8 +87,8 @@
     double sort_key;
     int row;
     Traits traits;
-    std::array<std::size_t, kTraits>
-        next_different;  // per trait: index of the next entry with another value, or the end
+    // For each trait the index of the next entry with another value, or the end.
+    std::array<std::size_t, kTraits> next_different;
   };
   std::vector<Entry> hosts_;
   std::vector<int> rows_;  // the rows of hosts_, in the same order
--- a/tests/membership/list_call_schedule_test.cpp
+++ b/tests/membership/list_call_schedule_test.cpp
@@ -52,7 +52,7 @@
     std::sort(due.begin(), due.end());
     CHECK(due.back() <= 5000);
     CHECK(due.back() >= longest_before);
-    // No tenth of the spread holds more than a quarter of them.
+    // Any tenth of the spread has at most a quarter of the calls.
     const double tenth = (due.back() - due.front()) / 10;
     for (double from = due.front(); from < due.back(); from += tenth) {
       CHECK(std::count_if(due.begin(), due.end(),
--- a/tests/pace/adaptive_throttle_test.cpp
+++ b/tests/pace/adaptive_throttle_test.cpp
@@ -39,8 +39,8 @@
 
 TEST_CASE("the class of least worth is shed first, that of most worth last, and none is starved") {
   AdaptiveThrottle throttle({2, 8, 5});
-  while (throttle.admitted_share() > 0.55)
-    throttle.RecordAnswer(true);  // 0.51: capacity for one and a half of the three classes
+  while (throttle.admitted_share() > 0.55) throttle.RecordAnswer(true);
+  // The share is now 0.51: capacity for one and a half of the three classes.
   const double admitted_share = throttle.admitted_share(), cheapest = AdmittedShare(throttle, 0),
                dearest = AdmittedShare(throttle, 1), between = AdmittedShare(throttle, 2);
   CHECK(cheapest + dearest + between ==
--- a/tests/startup/startup_integration_test.cpp
+++ b/tests/startup/startup_integration_test.cpp
@@ -35,8 +35,7 @@
 }  // namespace
 
 TEST_CASE(
-    "from a partly outdated list and a silent discovery to full: the operator API and the log report each "
-    "state") {
+    "from a partly outdated list and a silent discovery to full: operator API and log report each state") {
   Listener discovery, node, gone;
   const auto all = nlohmann::json::array({Machine("s-0", node.address()), Machine("s-1", gone.address())});
   gone.Close();
@@ -73,8 +72,7 @@
 }
 
 TEST_CASE(
-    "a program killed repeatedly before it is full delays its start, answers 503 and stops at once on "
-    "request") {
+    "a program killed repeatedly before it is full starts late, answers 503 and stops at once on request") {
   Listener discovery;
   const StateFolder folder;
   auto config = ConfigOf(discovery.address(), 64, nullptr);
--- a/tests/subset/host_order_test.cpp
+++ b/tests/subset/host_order_test.cpp
@@ -58,8 +58,7 @@
 }
 
 TEST_CASE(
-    "Pick does not examine hosts behind the selected ones, nor hosts of the same zone when it searches "
-    "another") {
+    "Pick examines no hosts behind the selected ones, and skips one zone when it searches for another") {
   HostOrder order;
   for (int i = 0; i < 1000; ++i) order.Add(i, i, {i == 990, 0, 0});
   order.Build();
