--- a/src/startup/start_history.h
+++ b/src/startup/start_history.h
@@ -37,7 +37,7 @@
   std::int64_t Begin(std::int64_t unix_ms);
   // Number of earlier starts that counted as failed when Begin was called.
   std::size_t failed() const { return failed_; }
-  // The process that started at `began` has reached *full*.
+  // The process that started at `start_unix_ms` has reached *full*.
   void Full(std::int64_t start_unix_ms);
   // That process has been *full* for kResetAfterFullMs: drops its start and all earlier ones.
   void Forget(std::int64_t start_unix_ms);
