--- a/src/cartspring/context.h
+++ b/src/cartspring/context.h
@@ -1,5 +1,5 @@
-// What the steps of a decision share: the settings, the time of the event at hand and the seeded chance.
-// Nothing here decides. Only the event handlers (policy.h) move the time.
+// State shared by the steps of a decision: the settings, the time of the current event and the seeded random
+// generator. Contains no decisions. Only the event handlers (policy.h) advance the time.
 #ifndef CARTSPRING_SRC_CARTSPRING_CONTEXT_H_
 #define CARTSPRING_SRC_CARTSPRING_CONTEXT_H_
 
@@ -11,24 +11,26 @@
 #include <vector>
 
 #include "cartspring/balancer.h"
-#include "comeback/comeback.h"
+#include "startup/startup_tracker.h"
 
 namespace cartspring {
 
-constexpr double kSettled = 1e-6;  // ms, for comparing times
+constexpr double kTimeToleranceMs = 1e-6;  // tolerance for comparing times
 constexpr double kNever = std::numeric_limits<double>::infinity();
-// From more instances than this on, an instance's share of the requests that a host may hold is less than
-// one: counts bound nothing, and it sees little of any host.
-constexpr int kSmallTier = 6;
+// With more instances than this, an instance's share of the requests that a host may hold is below one:
+// limits on counts have no effect, and the instance sees little of any host.
+constexpr int kMaxSmallTier = 6;
 
-// Small, seeded and portable: splitmix64. Distributions of the standard library differ between runtimes.
+// splitmix64: small, seeded and portable. The distributions of the standard library differ
+// between implementations.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
-  double Unit() { return static_cast<double>(Next() >> 11) * 0x1p-53; }  // from 0 to below 1
+  double Unit() { return static_cast<double>(Next() >> 11) * 0x1p-53; }  // in [0, 1)
   std::size_t Below(std::size_t n) { return static_cast<std::size_t>(Next() % n); }
 
-  // Moves `count` of `from`, or all if there are fewer, to its front and appends them to `out`.
+  // Draws `count` elements of `from` at random, or all if there are fewer: moves them to its front and
+  // appends them to `out`.
   void Draw(std::vector<int>& from, int count, std::vector<int>& out) {
     for (int k = 0; k < count && k < static_cast<int>(from.size()); ++k) {
       std::swap(from[k], from[k + Below(from.size() - k)]);
@@ -50,10 +52,10 @@
   Settings set;
   Random random;
   double now = 0;  // ms
-  Comeback comeback{set};
+  StartupTracker startup{set};
 
-  // Of the classes that requests come of.
-  int Hastiest() const {  // the one with the shortest aim, the first of those
+  // The next two functions leave out retired classes.
+  int StrictestClass() const {  // the one with the shortest target latency, the first of equals
     int best = -1;
     for (std::size_t i = 0; i < set.classes.size(); ++i) {
       if (set.classes[i].retired) continue;
@@ -62,7 +64,7 @@
     }
     return std::max(0, best);
   }
-  double Patience() const {  // of the most patient one
+  double LongestDeadline() const {  // of all classes in use
     double longest = 0;
     for (const RequestClass& klass : set.classes) {
       if (!klass.retired) longest = std::max(longest, klass.deadline_ms);
@@ -74,7 +76,7 @@
     for (const RequestClass& klass : set.classes) worths.push_back(klass.worth);
     return worths;
   }
-  bool LargeTier() const { return set.balancers > kSmallTier; }
+  bool LargeTier() const { return set.balancers > kMaxSmallTier; }
   const RequestClass& ClassOf(const Request& request) const { return set.classes[request.klass]; }
 };
 
--- a/src/cartspring/fields.h
+++ b/src/cartspring/fields.h
@@ -1,5 +1,5 @@
-// Named values, however they came: a line of the simulator's wire or a JSON object. Every reader of settings
-// and events goes through this, so that there is one list of names and one wording for what is wrong.
+// Named values from any source: a line of the simulator's protocol or a JSON object. All readers of settings
+// and events use this, so that there is one list of names and one wording of each error.
 #ifndef CARTSPRING_SRC_CARTSPRING_FIELDS_H_
 #define CARTSPRING_SRC_CARTSPRING_FIELDS_H_
 
@@ -18,7 +18,7 @@
 
 std::string Quoted(std::string_view text);
 double ToNumber(std::string_view text, std::string_view field);
-std::uint64_t ToWhole(std::string_view text, std::string_view field);
+std::uint64_t ToUnsigned(std::string_view text, std::string_view field);
 int ToIndex(std::uint64_t value, std::string_view field);
 bool ToFlag(std::string_view text, std::string_view field);
 
@@ -36,17 +36,17 @@
   virtual std::optional<std::string_view> Find(std::string_view field) const = 0;
 
   std::string_view Text(std::string_view field) const;  // throws ParseError if absent
-  std::string_view Text(std::string_view field, std::string_view absent) const;
+  std::string_view Text(std::string_view field, std::string_view default_value) const;
   double Number(std::string_view field) const;
-  double Number(std::string_view field, double absent) const;
+  double Number(std::string_view field, double default_value) const;
   std::uint64_t Whole(std::string_view field) const;
-  std::uint64_t Whole(std::string_view field, std::uint64_t absent) const;
+  std::uint64_t Whole(std::string_view field, std::uint64_t default_value) const;
   bool Flag(std::string_view field) const;  // absent: false
 
  protected:
-  // Told of what stands in for a field that is absent, so that a reader can say which values are defaults.
-  virtual void StandIn(std::string_view /*field*/, std::string_view /*value*/) const {}
-  virtual void StandIn(std::string_view /*field*/, double /*value*/) const {}
+  // Called with the default used for an absent field, so that a reader can report which values are defaults.
+  virtual void OnDefaultUsed(std::string_view /*field*/, std::string_view /*value*/) const {}
+  virtual void OnDefaultUsed(std::string_view /*field*/, double /*value*/) const {}
 };
 
 }  // namespace cartspring
--- a/src/router/prompt.cpp
+++ b/src/router/prompt.cpp
@@ -7,7 +7,7 @@
 namespace bitternmux::router {
 namespace {
 
-// A step of splitmix64: spreads what is chained over all bits.
+// One step of splitmix64: spreads the bits of the chained value over the whole word.
 std::uint64_t Mix(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15u;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::optional<Prompt> ReadTokenCount(std::string_view token_count) {
+std::optional<Prompt> ParseTokenCount(std::string_view token_count) {
   const auto in = http::WholeNumber(TakeField(token_count, ','));
   const auto out = http::WholeNumber(TakeField(token_count, ','));
   if (!in || !out) return std::nullopt;
@@ -36,9 +36,9 @@
   return prompt;
 }
 
-std::vector<PromptPart> ReadPromptPrefix(std::string_view prefix) {
+std::vector<PromptPart> ParsePromptPrefix(std::string_view prefix) {
   std::vector<PromptPart> parts;
-  std::uint64_t chain = 0;
+  std::uint64_t prefix_hash = 0;
   while (!prefix.empty() && parts.size() < kMaxPromptParts) {
     std::string_view part = TakeField(prefix, ',');
     const std::string_view id = TakeField(part, ':');
@@ -46,8 +46,8 @@
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(id.data(), id.data() + id.size(), number, 16);
     if (!tokens || error != std::errc() || end != id.data() + id.size()) break;
-    chain = Mix(chain ^ number);
-    parts.push_back({chain, static_cast<double>(*tokens)});
+    prefix_hash = Mix(prefix_hash ^ number);
+    parts.push_back({prefix_hash, static_cast<double>(*tokens)});
   }
   return parts;
 }
--- a/src/router/request_attempts.cpp
+++ b/src/router/request_attempts.cpp
@@ -1,4 +1,4 @@
-// How a request is sent to servers, one after the other, and what each of these attempts comes to.
+// Sends a request to one server after another and handles the outcome of each attempt.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -10,43 +10,44 @@
 namespace bitternmux::router {
 namespace {
 
-constexpr int kMostSends = 4;                    // of one request, rejected ones included
-constexpr double kLeastTimeMs = 5;               // with less left nothing is sent
-constexpr double kBusyRetryMs = 250;             // after which one that found all servers busy may come back
-constexpr std::size_t kMostUnsent = 256 * 1024;  // to a client, before its server is no longer read
-constexpr int kUsualPriority = 5, kLeastUrgent = 9;
+constexpr int kMaxAttempts = 4;        // per request, including rejected attempts
+constexpr double kMinRemainingMs = 5;  // no attempt is made with less time left
+constexpr double kBusyRetryMs = 250;   // Retry-After when all servers are busy
+// Buffered for a client before reading from the server pauses.
+constexpr std::size_t kMaxUnsentBytes = 256 * 1024;
+constexpr int kDefaultPriority = 5, kLowestPriority = 9;
 
 }  // namespace
 
 void RequestFlow::Dispatch() {
   const double now_ms = SteadyNowMs();
-  if (Left(now_ms) < kLeastTimeMs) return Refuse(0, EndReason::kNoTime);
-  ServerAsk ask;
-  ask.service = service_;
-  ask.aim_ms = route_->target_latency_ms;
-  ask.prompt = prompt_ ? &*prompt_ : nullptr;
-  ask.excluded = excluded_;
-  ask.repeatable = route_->Repeatable();
-  const ServerChoice::Answer answer = state_.choice.Choose(now_ms, ask);
-  answer.chosen ? SendTo(*answer.chosen) : RefuseUnchosen(answer);
+  if (RemainingMs(now_ms) < kMinRemainingMs) return Refuse(0, EndReason::kNoTime);
+  ServerQuery query;
+  query.service = service_;
+  query.target_ms = route_->target_latency_ms;
+  query.prompt = prompt_ ? &*prompt_ : nullptr;
+  query.excluded = tried_servers_;
+  query.repeatable = route_->Repeatable();
+  const ServerChoice::Answer answer = state_.choice.Choose(now_ms, query);
+  answer.chosen ? SendTo(*answer.chosen) : RefuseWithoutServer(answer);
 }
 
-// No server was chosen.
-void RequestFlow::RefuseUnchosen(const ServerChoice::Answer& answer) {
-  switch (answer.why) {
-    case ServerChoice::Nothing::kAllCold:
+// Refuses a request for which no server was chosen.
+void RequestFlow::RefuseWithoutServer(const ServerChoice::Answer& answer) {
+  switch (answer.no_choice_reason) {
+    case ServerChoice::NoChoiceReason::kAllCold:
       return Refuse(answer.retry_ms, EndReason::kServersCold);
-    case ServerChoice::Nothing::kAllBusy:
+    case ServerChoice::NoChoiceReason::kAllBusy:
       return Refuse(kBusyRetryMs, EndReason::kServersBusy);
-    case ServerChoice::Nothing::kNone:
-    case ServerChoice::Nothing::kNoServer:
+    case ServerChoice::NoChoiceReason::kNone:
+    case ServerChoice::NoChoiceReason::kNoServer:
       return Refuse(kBusyRetryMs, EndReason::kNoServer);
   }
 }
 
 int RequestFlow::PriorityLevel() const {
   const int level = tenant_ != nullptr ? tenant_->priority + route_->priority : route_->priority;
-  return std::clamp(kUsualPriority - 2 + level, 0, kLeastUrgent);
+  return std::clamp(kDefaultPriority - 2 + level, 0, kLowestPriority);
 }
 
 std::string RequestFlow::HeadFor(const ServerChoice::Chosen& chosen) const {
@@ -55,10 +56,10 @@
   headers.emplace_back("X-Request-Id", request_id_);
   for (const auto& [name, value] : message_.headers) {
     const bool resumes = name == "last-event-id" && !position_.last_id().empty();
-    if (IsPassedOn(name) && !resumes) headers.emplace_back(name, value);
+    if (IsForwarded(name) && !resumes) headers.emplace_back(name, value);
   }
   if (!position_.last_id().empty()) headers.emplace_back("Last-Event-Id", position_.last_id());
-  const double left_ms = std::max(1.0, std::floor(Left(SteadyNowMs())));
+  const double left_ms = std::max(1.0, std::floor(RemainingMs(SteadyNowMs())));
   headers.emplace_back("X-Deadline-Ms", std::to_string(static_cast<std::int64_t>(left_ms)));
   headers.emplace_back("X-Expected-Instance", chosen.id);
   if (tenant_ != nullptr) headers.emplace_back("X-Tenant", tenant_->name);
@@ -68,13 +69,13 @@
 
 void RequestFlow::SendTo(const ServerChoice::Chosen& chosen) {
   phase_ = Phase::kSent;
-  ++sends_;
-  excluded_.push_back(chosen.id);
+  ++attempt_count_;
+  tried_servers_.push_back(chosen.id);
   position_.BeginAttempt();
   Attempt& attempt = attempt_.emplace();
   attempt.server = chosen;
   attempt.sent_ms = SteadyNowMs();
-  state_.choice.Sent(attempt.sent_ms, chosen.id, chosen, prompt_ ? &*prompt_ : nullptr);
+  state_.choice.OnSent(attempt.sent_ms, chosen.id, chosen, prompt_ ? &*prompt_ : nullptr);
   attempt.connection = state_.upstream.Begin(
       {chosen.id, chosen.address, request_id_, HeadFor(chosen), body_, chosen.zone_cut_off},
       shared_from_this());
@@ -87,25 +88,26 @@
   return attempt;
 }
 
-void RequestFlow::AttemptOver(const Attempt& attempt, ServerOutcome outcome) {
+void RequestFlow::FinishAttempt(const Attempt& attempt, ServerOutcome outcome) {
   const ServerChoice::Chosen& server = attempt.server;
-  state_.choice.Ended(SteadyNowMs(), server.id, attempt.begun, server.uncached_tokens, outcome);
+  state_.choice.OnEnded(SteadyNowMs(), server.id, attempt.response_started, server.uncached_tokens, outcome);
   state_.loads_changed();
   state_.events.Write(fleet_events::kServerTrouble, {{"id", request_id_},
-                                                     {"attempt", sends_},
+                                                     {"attempt", attempt_count_},
                                                      {"server", server.id},
                                                      {"outcome", static_cast<int>(outcome)}});
 }
 
 void RequestFlow::OnHead(const http::Message& head) {
   Attempt& attempt = *attempt_;
-  if (const auto load = ReadLoad(head)) state_.choice.Reported(SteadyNowMs(), attempt.server.id, *load);
+  if (const auto load = ParseLoadReport(head))
+    state_.choice.OnLoadReport(SteadyNowMs(), attempt.server.id, *load);
   attempt.head = head;
   attempt.head.body.clear();
   if (head.status == 421) {
     attempt.answer = Attempt::Answer::kMisdirected;
   } else if (head.Find("x-not-executed")) {
-    attempt.answer = Attempt::Answer::kNotRun;
+    attempt.answer = Attempt::Answer::kNotExecuted;
   } else if (head.status / 100 == 2 && head.Find("x-response-seal") &&
              route_->type == fleet::RouteType::kStreaming) {
     attempt.answer = Attempt::Answer::kStream;
@@ -120,171 +122,172 @@
     attempt.body += bytes;
     return;
   }
-  const std::string events = attempt.events.Take(bytes);
+  const std::string events = attempt.events.Feed(bytes);
   if (events.empty()) return;
-  if (!position_.Advance(events)) return RefuseEvents();
-  if (!attempt.begun) NoteFirstEvent();
+  if (!position_.Advance(events)) return RejectRepeatedEvents();
+  if (!attempt.response_started) RecordFirstEvent();
   const auto responder = responder_.lock();
   if (!responder) return;
-  if (!passing_) PassHead(attempt.head);
-  responder->Piece(events);
-  if (responder->Unsent() > kMostUnsent) Upstream::Pause(attempt.connection, true);
+  if (!stream_started_) ForwardHead(attempt.head);
+  responder->SendChunk(events);
+  if (responder->UnsentBytes() > kMaxUnsentBytes) Upstream::Pause(attempt.connection, true);
 }
 
-// The first event, or an answer that is none of events.
-void RequestFlow::NoteFirstEvent() {
+// Records the first event of a stream, or a complete response that is not a stream.
+void RequestFlow::RecordFirstEvent() {
   const double now_ms = SteadyNowMs();
   Attempt& attempt = *attempt_;
   const ServerChoice::Chosen& server = attempt.server;
-  const double came_ms = now_ms - attempt.sent_ms;
-  attempt.begun = true;
-  state_.choice.Begun(now_ms, server.id, server, came_ms);
+  const double observed_ms = now_ms - attempt.sent_ms;
+  attempt.response_started = true;
+  state_.choice.OnFirstEvent(now_ms, server.id, server, observed_ms);
   state_.loads_changed();
-  state_.metrics.FirstEvent(server.expected_ms, came_ms);
-  if (first_event_ms_ == 0) first_event_ms_ = now_ms - began_ms_;
+  state_.metrics.RecordFirstEvent(server.expected_ms, observed_ms);
+  if (first_event_ms_ == 0) first_event_ms_ = now_ms - started_ms_;
   state_.events.Write(fleet_events::kFirstEvent, {{"id", request_id_},
                                                   {"server", server.id},
-                                                  {"weighed", server.weighed},
+                                                  {"weighed", server.ranked_servers},
                                                   {"uncached", server.uncached_tokens},
                                                   {"expected_ms", server.expected_ms},
-                                                  {"came_ms", came_ms}});
+                                                  {"came_ms", observed_ms}});
 }
 
-// An attempt has ended inside an event.
-void RequestFlow::NoteTornEvent(const Attempt& attempt, AttemptEnd end) {
-  const std::size_t bytes = attempt.events.unfinished();
+// Counts and logs an attempt that ended in the middle of an event.
+void RequestFlow::RecordTornEvent(const Attempt& attempt, AttemptEnd end) {
+  const std::size_t bytes = attempt.events.incomplete_bytes();
   if (bytes == 0) return;
-  state_.metrics.AttemptTorn(bytes);
+  state_.metrics.CountTornAttempt(bytes);
   state_.events.Write(fleet_events::kAttemptTorn, {{"id", request_id_},
-                                                   {"attempt", sends_},
+                                                   {"attempt", attempt_count_},
                                                    {"server", attempt.server.id},
                                                    {"bytes", bytes},
                                                    {"closed", end != AttemptEnd::kBroken},
                                                    {"last_id", position_.last_id()}});
 }
 
-// A server that was to continue a stream sends what the client has already. The session may let go of this
-// request in here.
-void RequestFlow::RefuseEvents() {
+// A server that should have continued a stream resent events that the client already has. The session may
+// release its reference to this request during the call.
+void RequestFlow::RejectRepeatedEvents() {
   const auto self = shared_from_this();
   Upstream::Cancel(attempt_->connection);
   const Attempt attempt = TakeAttempt();
   may_have_run_ = true;
-  ++runs_;
-  state_.metrics.StreamNotContinued();
+  ++executions_;
+  state_.metrics.CountUncontinuedStream();
   state_.events.Write(fleet_events::kStreamNotContinued, {{"id", request_id_},
-                                                          {"attempt", sends_},
+                                                          {"attempt", attempt_count_},
                                                           {"server", attempt.server.id},
                                                           {"last_id", position_.last_id()}});
-  AttemptOver(attempt, ServerOutcome::kFailed);
-  StreamBroke();
+  FinishAttempt(attempt, ServerOutcome::kFailed);
+  OnStreamBroken();
 }
 
-void RequestFlow::ClientTook() {
+void RequestFlow::ClientDrained() {
   const auto responder = responder_.lock();
-  if (attempt_ && responder && responder->Unsent() <= kMostUnsent / 2)
+  if (attempt_ && responder && responder->UnsentBytes() <= kMaxUnsentBytes / 2)
     Upstream::Pause(attempt_->connection, false);
 }
 
-void RequestFlow::PassHead(const http::Message& head) {
-  passing_ = true;
-  if (const auto responder = responder_.lock()) responder->BeginStream(head.status, PassedBack(head));
+void RequestFlow::ForwardHead(const http::Message& head) {
+  stream_started_ = true;
+  if (const auto responder = responder_.lock()) responder->BeginStream(head.status, ReturnedHeaders(head));
 }
 
 void RequestFlow::OnEnd(AttemptEnd end) {
-  if (phase_ == Phase::kOver || !attempt_) return;
+  if (phase_ == Phase::kFinished || !attempt_) return;
   const auto answer = attempt_->answer;
   const bool success = attempt_->head.status / 100 == 2 && attempt_->head.Find("x-response-seal");
-  const bool whole = end == AttemptEnd::kComplete || end == AttemptEnd::kCompleteByClose;
-  if (whole && answer == Attempt::Answer::kBuffered && success && !attempt_->begun) NoteFirstEvent();
+  const bool complete = end == AttemptEnd::kComplete || end == AttemptEnd::kCompleteByClose;
+  if (complete && answer == Attempt::Answer::kBuffered && success && !attempt_->response_started)
+    RecordFirstEvent();
   Attempt attempt = TakeAttempt();
-  NoteTornEvent(attempt, end);
+  RecordTornEvent(attempt, end);
   if (end == AttemptEnd::kDialTimedOut || end == AttemptEnd::kUnacknowledged)
-    state_.choice.Silent(SteadyNowMs(), attempt.server.id, attempt.sent_ms);
+    state_.choice.OnNoResponse(SteadyNowMs(), attempt.server.id, attempt.sent_ms);
   if (end == AttemptEnd::kUnreachable || end == AttemptEnd::kDialTimedOut) {
-    AttemptOver(attempt, ServerOutcome::kUnreachable);
-    return Failed(/*reached=*/false);
+    FinishAttempt(attempt, ServerOutcome::kUnreachable);
+    return OnAttemptFailed(/*reached=*/false);
   }
-  if (answer == Attempt::Answer::kNotRun || answer == Attempt::Answer::kMisdirected) {
-    AttemptOver(attempt,
-                answer == Attempt::Answer::kNotRun ? ServerOutcome::kRejected : ServerOutcome::kMisdirected);
-    return NotRun();
+  if (answer == Attempt::Answer::kNotExecuted || answer == Attempt::Answer::kMisdirected) {
+    FinishAttempt(attempt, answer == Attempt::Answer::kNotExecuted ? ServerOutcome::kRejected
+                                                                   : ServerOutcome::kMisdirected);
+    return OnNotExecuted();
   }
   may_have_run_ = true;
-  ++runs_;
-  // A server that is gone in the middle of an event ends its connection too.
-  const bool torn = end == AttemptEnd::kCompleteByClose && attempt.events.unfinished() > 0;
-  if (!whole || torn) {
-    AttemptOver(attempt, ServerOutcome::kFailed);
-    return passing_ ? StreamBroke() : Failed(/*reached=*/true);
+  ++executions_;
+  // A server that dies in the middle of an event also closes its connection, which looks like a normal end.
+  const bool torn = end == AttemptEnd::kCompleteByClose && attempt.events.incomplete_bytes() > 0;
+  if (!complete || torn) {
+    FinishAttempt(attempt, ServerOutcome::kFailed);
+    return stream_started_ ? OnStreamBroken() : OnAttemptFailed(/*reached=*/true);
   }
-  answer == Attempt::Answer::kStream ? PassStreamEnd(attempt) : PassAnswer(attempt);
+  answer == Attempt::Answer::kStream ? ForwardStreamEnd(attempt) : ForwardResponse(attempt);
 }
 
-// A stream came to its end.
-void RequestFlow::PassStreamEnd(Attempt& attempt) {
-  AttemptOver(attempt, ServerOutcome::kAnswered);
+// Forwards the regular end of a stream.
+void RequestFlow::ForwardStreamEnd(Attempt& attempt) {
+  FinishAttempt(attempt, ServerOutcome::kAnswered);
   const auto responder = responder_.lock();
-  if (!responder) return Over(EndReason::kClientLeft);
-  if (!passing_) PassHead(attempt.head);
-  responder->Piece(attempt.events.TakeRest());
+  if (!responder) return Finish(EndReason::kClientLeft);
+  if (!stream_started_) ForwardHead(attempt.head);
+  responder->SendChunk(attempt.events.TakeRemainder());
   responder->EndStream();
-  Over(EndReason::kServed);
+  Finish(EndReason::kServed);
 }
 
-// Any other answer came whole.
-void RequestFlow::PassAnswer(const Attempt& attempt) {
+// Forwards a complete response that is not a stream, or repeats the request if that is allowed.
+void RequestFlow::ForwardResponse(const Attempt& attempt) {
   const http::Message& head = attempt.head;
   const bool sealed = head.Find("x-response-seal").has_value();
   const bool success = head.status / 100 == 2 && sealed;
-  AttemptOver(attempt, success || head.status / 100 == 4 || head.status == 504 ? ServerOutcome::kAnswered
-                                                                               : ServerOutcome::kFailed);
-  if (!success && passing_) return StreamBroke();
+  FinishAttempt(attempt, success || head.status / 100 == 4 || head.status == 504 ? ServerOutcome::kAnswered
+                                                                                 : ServerOutcome::kFailed);
+  if (!success && stream_started_) return OnStreamBroken();
   if (!success && head.status / 100 != 4 && route_->Repeatable() && MayRepeat(SteadyNowMs()))
     return Dispatch();
   const auto responder = responder_.lock();
-  if (!responder) return Over(EndReason::kClientLeft);
+  if (!responder) return Finish(EndReason::kClientLeft);
   const bool unclear = head.status / 100 == 2 && !sealed;
   if (unclear || (PromisesNotRun(head.status) && !route_->Repeatable()))
     return Respond(502, "the server's answer is none", EndReason::kUnclearAnswer);
-  responder->Respond(head.status, PassedBack(head), attempt.body);
-  Over(success ? EndReason::kServed : EndReason::kServerFailed);
+  responder->Respond(head.status, ReturnedHeaders(head), attempt.body);
+  Finish(success ? EndReason::kServed : EndReason::kServerFailed);
 }
 
-// The server has said that it did not run the request.
-void RequestFlow::NotRun() {
+// The server reported that it did not execute the request.
+void RequestFlow::OnNotExecuted() {
   const double now_ms = SteadyNowMs();
-  const bool again =
-      sends_ < kMostSends && Left(now_ms) > kLeastTimeMs && state_.budget.Spend(now_ms, service_);
+  const bool again = attempt_count_ < kMaxAttempts && RemainingMs(now_ms) > kMinRemainingMs &&
+                     state_.budget.Spend(now_ms, service_);
   if (again) return Dispatch();
   Refuse(kBusyRetryMs, EndReason::kRejected);
 }
 
-// The attempt came to nothing. Unless a server was reached it never ran.
-void RequestFlow::Failed(bool reached) {
+// The attempt failed. If no server was reached, the request was not executed.
+void RequestFlow::OnAttemptFailed(bool reached) {
   const double now_ms = SteadyNowMs();
   if (!reached) {
-    if (sends_ < kMostSends && Left(now_ms) > kLeastTimeMs) return Dispatch();
+    if (attempt_count_ < kMaxAttempts && RemainingMs(now_ms) > kMinRemainingMs) return Dispatch();
     return Refuse(kBusyRetryMs, EndReason::kUnreachable);
   }
   if (route_->Repeatable() && MayRepeat(now_ms)) return Dispatch();
   Respond(502, "the server broke off", EndReason::kServerBroke);
 }
 
-// May a request that has run, or may have, be sent to one more server?
+// Whether a request that was or may have been executed may be sent to another server. Spends retry budget.
 bool RequestFlow::MayRepeat(double now_ms) {
-  return runs_ < route_->max_attempts && sends_ < kMostSends && Left(now_ms) > kLeastTimeMs &&
-         state_.budget.Spend(now_ms, service_);
+  return executions_ < route_->max_attempts && attempt_count_ < kMaxAttempts &&
+         RemainingMs(now_ms) > kMinRemainingMs && state_.budget.Spend(now_ms, service_);
 }
 
-// A stream has begun for the client. Where it may be resumed another server goes on behind the last whole
-// event.
-void RequestFlow::StreamBroke() {
+// A stream of which the client has received a part was cut off. If the route allows it, another server
+// resumes the stream after the last complete event.
+void RequestFlow::OnStreamBroken() {
   if (route_->resumable && position_.CanContinue() && MayRepeat(SteadyNowMs())) {
-    state_.metrics.StreamResumed();
+    state_.metrics.CountResumedStream();
     return Dispatch();
   }
-  BreakOff(EndReason::kStreamBroke);
+  Abort(EndReason::kStreamBroke);
 }
 
 }  // namespace bitternmux::router
--- a/src/router/request_flow.h
+++ b/src/router/request_flow.h
@@ -1,13 +1,14 @@
-// The life of one request: from its last byte to its one final answer.
+// The life cycle of one request, from the arrival of its last byte to its single final response.
 //
-//   quota -> choice of a server -> attempt -> (another attempt) -> answer
+//   quota -> choice of a server -> attempt -> (another attempt) -> response
 //
-// request_admission.cpp has the way to the choice, request_attempts.cpp the attempts, request_ending.cpp the
-// end.
+// request_admission.cpp implements the steps up to the choice of a server, request_attempts.cpp the attempts
+// and request_ending.cpp the end.
 //
-// What never ran is told from what may have run by one flag, which the first byte of an attempt sets and only
-// a server's own word (X-Not-Executed, 421) takes back: without it a request that must not run twice is
-// neither sent again nor answered with one of the statuses that promise it never will run.
+// One flag separates requests that were never executed from those that may have been. An attempt that may
+// have sent a byte counts as possibly executed unless the server itself says otherwise (X-Not-Executed, 421).
+// A request that must not be executed twice and may have been executed is neither sent again nor answered
+// with a status that promises that it was not executed.
 #ifndef BITTERNMUX_SRC_ROUTER_REQUEST_FLOW_H_
 #define BITTERNMUX_SRC_ROUTER_REQUEST_FLOW_H_
 
@@ -35,7 +36,7 @@
 
 namespace bitternmux::router {
 
-// What all requests of a router share.
+// State that all requests of a router share.
 struct RouterState {
   boost::asio::io_context& io;
   EventSink& events;
@@ -43,80 +44,86 @@
   ServerChoice choice;
   fleet::QuotaLedger quota;
   RetryBudget budget;
-  std::shared_ptr<const RouteTable> table;  // null: no configuration is known yet
-  bool servers_known = false;               // a list of servers has come
+  std::shared_ptr<const RouteTable> table;  // null until a configuration has been received
+  bool servers_known = false;               // a server list has been received
   Shutdown shutdown;
-  std::uint64_t last_request = 0;
+  std::uint64_t last_request_number = 0;
   std::unordered_map<std::uint64_t, std::weak_ptr<class RequestFlow>> waiting_for_quota;
   std::vector<std::weak_ptr<class RequestFlow>> waiting_for_table;
-  std::function<void()> quota_changed;  // requests or verdicts are to be taken from the ledger
-  std::function<void()> loads_changed;  // the choice has loads to tell
+  std::function<void()> quota_changed;  // the ledger has requests or verdicts to collect
+  std::function<void()> loads_changed;  // `choice` has loads to report
   std::mt19937 random;
   RouterMetrics metrics;
 };
 
+// State machine of one request. Driven by the client's session (OpenRequest), the connection to the server
+// (AttemptHandler), the quota ledger and a timer.
 class RequestFlow : public OpenRequest,
                     public AttemptHandler,
                     public std::enable_shared_from_this<RequestFlow> {
  public:
-  // Answers the request, maybe before it returns.
+  // Starts processing the request. The response may be given before this returns.
   static std::shared_ptr<RequestFlow> Begin(RouterState& state, http::Message message,
                                             const std::shared_ptr<Responder>& responder);
 
   RequestFlow(RouterState& state, http::Message message, const std::shared_ptr<Responder>& responder);
 
-  void ClientLeft() override;
-  void ClientTook() override;
+  void ClientDisconnected() override;
+  void ClientDrained() override;
   void OnHead(const http::Message& head) override;
   void OnBody(std::string bytes) override;
   void OnEnd(AttemptEnd end) override;
+  // The quota ledger has admitted or refused the request. `retry_ms`: time after which to try again.
   void QuotaDecided(bool admitted, double retry_ms);
-  // A configuration and a list of servers are known now.
-  void TableCame();
+  // Continues a request that waited until a configuration and a server list were available.
+  void TableAvailable();
 
  private:
-  enum class Phase { kBegun, kWaitsForTable, kWaitsForQuota, kSent, kOver };
+  enum class Phase { kAdmitting, kWaitingForTable, kWaitingForQuota, kSent, kFinished };
 
   void Admit();
   void WaitForTable();
   bool FindTenant();
-  // For how long it may still be held for a grant of its quota.
-  double HoldMs(double now_ms) const;
-  void Charge();
+  // How much longer the request may wait for a quota grant.
+  double RemainingQuotaWaitMs(double now_ms) const;
+  void RequestQuota();
   void Dispatch();
-  void RefuseUnchosen(const ServerChoice::Answer& answer);
+  void RefuseWithoutServer(const ServerChoice::Answer& answer);
   void SendTo(const ServerChoice::Chosen& chosen);
   std::string HeadFor(const ServerChoice::Chosen& chosen) const;
   int PriorityLevel() const;
-  void NotRun();
-  void Failed(bool reached);
+  void OnNotExecuted();
+  void OnAttemptFailed(bool reached);
   bool MayRepeat(double now_ms);
-  void StreamBroke();
-  void NoteFirstEvent();
-  void NoteTornEvent(const Attempt& attempt, AttemptEnd end);
-  void RefuseEvents();
-  // The attempt under way, which is none any more.
+  void OnStreamBroken();
+  void RecordFirstEvent();
+  void RecordTornEvent(const Attempt& attempt, AttemptEnd end);
+  void RejectRepeatedEvents();
+  // Moves the current attempt out of the flow.
   Attempt TakeAttempt();
-  void AttemptOver(const Attempt& attempt, ServerOutcome outcome);
-  void PassHead(const http::Message& head);
-  void PassStreamEnd(Attempt& attempt);
-  void PassAnswer(const Attempt& attempt);
+  void FinishAttempt(const Attempt& attempt, ServerOutcome outcome);
+  void ForwardHead(const http::Message& head);
+  void ForwardStreamEnd(Attempt& attempt);
+  void ForwardResponse(const Attempt& attempt);
+  // Ends the request with 503 and, if `retry_ms` > 0, a randomized Retry-After. Responds with 502 if the
+  // request may have been executed and must not be repeated; aborts a stream that was started.
   void Refuse(double retry_ms, EndReason reason);
   void Respond(int status, std::string_view why, EndReason reason);
-  void BreakOff(EndReason reason);
-  void TimeIsUp();
-  void Over(EndReason reason);
-  void TellEnd(EndReason reason);
-  double Left(double now_ms) const { return until_ms_ - now_ms; }
+  void Abort(EndReason reason);
+  void OnDeadline();
+  // Ends the request once: records the end and refunds the quota if the request was not executed.
+  void Finish(EndReason reason);
+  void RecordEnd(EndReason reason);
+  double RemainingMs(double now_ms) const { return deadline_ms_ - now_ms; }
 
   RouterState& state_;
   std::shared_ptr<const RouteTable> table_;
   http::Message message_;
   const std::weak_ptr<Responder> responder_;
-  const std::uint64_t number_;
-  const double began_ms_;
+  const std::uint64_t request_number_;
+  const double started_ms_;
   boost::asio::steady_timer timer_;
-  Phase phase_ = Phase::kBegun;
+  Phase phase_ = Phase::kAdmitting;
 
   std::string request_id_;
   std::shared_ptr<const std::string> body_;
@@ -127,19 +134,21 @@
   double cost_ = 0;
   bool charged_ = false;
   double charged_ms_ = 0;
-  double until_ms_ = 0;
+  double deadline_ms_ = 0;
 
-  std::optional<Attempt> attempt_;     // under way
-  std::vector<std::string> excluded_;  // servers that it was sent to
-  int sends_ = 0, runs_ = 0;
-  bool may_have_run_ = false;
+  std::optional<Attempt> attempt_;          // in progress
+  std::vector<std::string> tried_servers_;  // servers that were already tried
+  // Attempts made, including rejected ones, and those of them that were or may have been executed.
+  int attempt_count_ = 0, executions_ = 0;
+  bool may_have_run_ = false;  // a server may have executed the request
 
-  // What the client has of the answer, over all attempts.
-  double first_event_ms_ = 0;  // from the request's beginning; 0: none came
-  bool passing_ = false;       // a stream's head has gone to it
+  // What the client has received of the response, over all attempts.
+  double first_event_ms_ = 0;    // since the start of the request; 0: no event yet
+  bool stream_started_ = false;  // the head of a stream was forwarded
   StreamPosition position_;
 };
 
+// The steady clock in milliseconds.
 double SteadyNowMs();
 
 }  // namespace bitternmux::router
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,10 +1,9 @@
-// The router: the data plane of an edge machine, wired together on one thread. It takes clients' requests,
-// chooses servers, and carries answers back; what it knows of routes and servers comes from the agent beside
-// it.
+// The router: the data plane of an edge machine, on one thread. It accepts client requests, chooses servers
+// and forwards their responses. Routes and servers come from the agent on the same machine.
 //
-// It calls itself ready once it holds a configuration, a list of servers and the word of which zones are
-// evacuated, from an agent that is in contact with the control machines. What it holds it goes on serving by
-// when that contact is lost.
+// It reports ready once it has a configuration, a server list and the set of evacuated zones, from an agent
+// that is connected to the control machines. If that connection is lost, it keeps serving with the state that
+// it has.
 #ifndef BITTERNMUX_SRC_ROUTER_ROUTER_H_
 #define BITTERNMUX_SRC_ROUTER_ROUTER_H_
 
@@ -23,32 +22,37 @@
 
 namespace bitternmux::router {
 
+// Connects the client front end, the request flows and the feed from the agent.
 class Router {
  public:
   Router(boost::asio::io_context& io, fleet::NodeSettings settings, EventSink& events);
 
   // Throws if it cannot listen.
   void Start();
-  // Takes no new connections once the platform has had the time to notice, and ends with the last request.
+  // Starts the shutdown: reports not ready, closes idle client connections once the platform has had time to
+  // notice, and ends with the last connection or shortly before the grace period ends.
   void Stop();
 
  private:
   using LinkPointer = std::shared_ptr<fleet::Link>;
 
-  // `GET /readyz` and `GET /metrics`.
+  // Answers `GET /readyz` and `GET /metrics`.
   void AnswerProbe(std::string_view target, Responder& responder) const;
-  void FromAgent(const LinkPointer& link, const fleet::Message& message);
-  void Take(const LinkPointer& link, const fleet::FeedEntry& entry);
-  void UseConfiguration();
+  void OnAgentMessage(const LinkPointer& link, const fleet::Message& message);
+  void ApplyFeedEntry(const LinkPointer& link, const fleet::FeedEntry& entry);
+  void ApplyConfiguration();
   void ProtectCold(const fleet::Configuration& configuration);
-  void UseServers();
-  void UseRouters(std::size_t count);
-  void CheckReady();
-  void QuotaChanged();
+  void ApplyServers();
+  void SetRouterCount(std::size_t count);
+  void UpdateReadiness();
+  // Sends the ledger's requests to the agent and hands its verdicts to the waiting requests.
+  void ProcessQuota();
   void ScheduleQuotaTick();
-  void TellQuotaFigures(double now_ms);
-  void TellLoads(bool whole);
-  void LoadsChanged();
+  void LogQuotaFigures(double now_ms);
+  // Sends the servers' loads to the agent: all of them, or only those that changed.
+  void SendLoads(bool all);
+  // Sends the changed loads after kLoadReportInterval, so that changes are batched.
+  void ScheduleLoadReport();
   void Tick();
   void End();
 
@@ -56,19 +60,20 @@
   const fleet::NodeSettings settings_;
   EventSink& events_;
   RouterState state_;
-  Front front_;
-  Front readiness_;
+  Front front_;      // for clients
+  Front readiness_;  // for /readyz and /metrics
   fleet::FeedFollower follower_;
   EvacuatedZones evacuated_;
   std::shared_ptr<fleet::Dialer> agent_;
-  boost::asio::steady_timer tick_;
-  boost::asio::steady_timer quota_tick_;
-  boost::asio::steady_timer loads_tick_;
-  bool loads_ticking_ = false;
-  double loads_refreshed_ms_ = 0;
+  boost::asio::steady_timer tick_timer_;
+  boost::asio::steady_timer quota_timer_;
+  boost::asio::steady_timer load_report_timer_;
+  bool load_report_scheduled_ = false;
+  double all_loads_sent_ms_ = 0;
   std::optional<double> quota_tick_due_ms_;
-  double quota_told_ms_ = 0;
-  bool ready_ = false, was_fresh_ = false;
+  double quota_logged_ms_ = 0;
+  // had_fresh_feed_: the agent has been in contact with the control machines at least once.
+  bool ready_ = false, had_fresh_feed_ = false;
 };
 
 }  // namespace bitternmux::router
--- a/src/rows/row_set.h
+++ b/src/rows/row_set.h
@@ -1,7 +1,7 @@
-// A set of rows, gone through without a look at those that are not in it. A container without a decision in
-// it.
+// A set of row indices that is iterated over without visiting rows outside it. A plain container without
+// decision logic.
 //
-// Bound: as many rows as were ever named, a number and a bit for each.
+// Memory: one index and one bit for each row that was ever added, or below one that was.
 #ifndef BITTERNMUX_SRC_ROWS_ROW_SET_H_
 #define BITTERNMUX_SRC_ROWS_ROW_SET_H_
 
@@ -14,39 +14,39 @@
 class RowSet {
  public:
   bool Has(int row) const {
-    const auto at = static_cast<std::size_t>(row);
-    return at < in_.size() && in_[at];
+    const auto index = static_cast<std::size_t>(row);
+    return index < is_member_.size() && is_member_[index];
   }
 
-  // `row`: from 0. Nothing changes where it is in already.
+  // `row` is 0 or above. Has no effect if the set contains it already.
   void Add(int row) {
     if (Has(row)) return;
-    const auto at = static_cast<std::size_t>(row);
-    if (at >= in_.size()) in_.resize(at + 1);
-    in_[at] = true;
+    const auto index = static_cast<std::size_t>(row);
+    if (index >= is_member_.size()) is_member_.resize(index + 1);
+    is_member_[index] = true;
     rows_.push_back(row);
   }
 
-  // Takes out the rows of which `over` is true.
-  template <class Over>
-  void EraseIf(const Over& over) {
+  // Removes the rows that satisfy `predicate`.
+  template <class Predicate>
+  void EraseIf(const Predicate& predicate) {
     std::erase_if(rows_, [&](int row) {
-      const bool out = over(row);
-      if (out) in_[static_cast<std::size_t>(row)] = false;
-      return out;
+      const bool erased = predicate(row);
+      if (erased) is_member_[static_cast<std::size_t>(row)] = false;
+      return erased;
     });
   }
 
-  // How many rows of the set, and of `more` beside it (no row twice), `holds` is true of.
-  template <class Holds>
-  std::ptrdiff_t CountIf(const Holds& holds, const std::vector<int>& more = {}) const {
-    return std::ranges::count_if(rows_, holds) +
-           std::ranges::count_if(more, [&](int row) { return !Has(row) && holds(row); });
+  // Counts the rows in the union of the set and `more` that satisfy `predicate`. `more` has no duplicates.
+  template <class Predicate>
+  std::ptrdiff_t CountIf(const Predicate& predicate, const std::vector<int>& more = {}) const {
+    return std::ranges::count_if(rows_, predicate) +
+           std::ranges::count_if(more, [&](int row) { return !Has(row) && predicate(row); });
   }
 
  private:
   std::vector<int> rows_;
-  std::vector<bool> in_;  // by row
+  std::vector<bool> is_member_;  // by row
 };
 
 }  // namespace cartspring
--- a/src/sidecar/starts_file.h
+++ b/src/sidecar/starts_file.h
@@ -5,8 +5,8 @@
 #include <cstdint>
 #include <string>
 
-#include "comeback/starts.h"
 #include "events/event.h"
+#include "startup/start_history.h"
 
 namespace bitternmux {
 
@@ -25,8 +25,8 @@
   void Stopped();
 
  private:
-  Starts Load();
-  void Keep(const Starts& starts);
+  StartHistory Load();
+  void Keep(const StartHistory& starts);
   void Tell(const char* why);
 
   const std::string path_;  // empty: none
--- a/tests/router/router_metrics_test.cpp
+++ b/tests/router/router_metrics_test.cpp
@@ -6,16 +6,16 @@
 
 namespace bitternmux::router {
 
-TEST_CASE("router metrics: each reason has a name of its own and a counter") {
+TEST_CASE("router metrics: each end reason has its own name and counter") {
   std::set<std::string_view> names;
   for (std::size_t reason = 0; reason < kEndReasons; ++reason)
     names.insert(NameOf(static_cast<EndReason>(reason)));
   CHECK(names.size() == kEndReasons);
   CHECK_FALSE(names.contains(""));
   RouterMetrics metrics;
-  metrics.Ended(EndReason::kQuota);
-  metrics.Ended(EndReason::kQuota);
-  metrics.Ended(EndReason::kClientLeft);
+  metrics.CountEnded(EndReason::kQuota);
+  metrics.CountEnded(EndReason::kQuota);
+  metrics.CountEnded(EndReason::kClientLeft);
   const std::string text = metrics.Text({17, 5});
   CHECK(text.find("bitternmux_requests_ended_total{reason=\"quota\"} 2\n") != std::string::npos);
   CHECK(text.find("bitternmux_requests_ended_total{reason=\"client_left\"} 1\n") != std::string::npos);
@@ -24,11 +24,11 @@
   CHECK(text.find("bitternmux_surplus_answers_total 5\n") != std::string::npos);
 }
 
-TEST_CASE("router metrics: first events as expected and as they came") {
+TEST_CASE("router metrics: expected and observed times to first events") {
   RouterMetrics metrics;
-  metrics.FirstEvent(100, 130);
-  metrics.FirstEvent(100, 80);
-  metrics.Late();
+  metrics.RecordFirstEvent(100, 130);
+  metrics.RecordFirstEvent(100, 80);
+  metrics.CountLate();
   const std::string text = metrics.Text({});
   CHECK(text.find("bitternmux_first_events_total 2\n") != std::string::npos);
   CHECK(text.find("bitternmux_first_event_expected_ms_total 200\n") != std::string::npos);
@@ -37,13 +37,13 @@
   CHECK(text.find("bitternmux_requests_late_total 1\n") != std::string::npos);
 }
 
-TEST_CASE("router metrics: attempts that ended inside an event, and streams that went on elsewhere") {
+TEST_CASE("router metrics: attempts that ended inside an event, and streams that were continued") {
   RouterMetrics metrics;
-  metrics.AttemptTorn(13);
-  metrics.AttemptTorn(4);
-  metrics.StreamResumed();
-  metrics.StreamNotContinued();
-  metrics.StreamNotContinued();
+  metrics.CountTornAttempt(13);
+  metrics.CountTornAttempt(4);
+  metrics.CountResumedStream();
+  metrics.CountUncontinuedStream();
+  metrics.CountUncontinuedStream();
   const std::string text = metrics.Text({});
   CHECK(text.find("bitternmux_attempts_torn_total 2\n") != std::string::npos);
   CHECK(text.find("bitternmux_attempts_torn_bytes_total 17\n") != std::string::npos);
