--- a/include/cartspring/balancer.h
+++ b/include/cartspring/balancer.h
@@ -55,7 +55,7 @@
   double drain_grace_ms = 0;
   double cold_from = 1;  // least share of its capacity that a host has when it starts
   double warm_within_ms = 0;
-  double fall_multiple = 1;  // a cold host sent more than this multiple of its capacity for fall_ms fails
+  double fall_multiple = 1;  // a cold host fails if sent more than this multiple of its capacity for fall_ms
   double fall_ms = 0;
   double probe_price = 0;  // part of the result (of 1) that one probe per request costs
   double cross_zone_price = 0;
@@ -68,8 +68,8 @@
   std::vector<std::string> kinds;  // machine kinds, by index
 };
 
-// Start-up progress of an instance: works from the list it was started with; has received a list from
-// discovery; hosts are answering; as good as an instance that has run for a minute.
+// Start-up progress of an instance, in order: it uses the host list that it was started with; it has received
+// a list from discovery; hosts answer its requests; it decides as well as after a minute's run.
 enum class ServiceState { kRemembering, kListed, kLearning, kFull };
 struct StateChange {
   std::uint64_t number = 0;  // counts from 1, the start
@@ -118,7 +118,7 @@
   virtual void Send(RequestId id, const std::string& host, double give_up_ms, double out_by_ms) = 0;
   virtual void Cancel(RequestId id, int attempt) = 0;
   virtual void Refuse(RequestId id, double retry_after_ms) = 0;  // final; guarantees that a retry is harmless
-  virtual void Fail(RequestId id) = 0;                           // final; without that guarantee
+  virtual void Fail(RequestId id) = 0;                           // final; a host may have executed it
   virtual void Probe(const std::string& host) = 0;
   virtual void Subscribe() = 0;
   virtual void SetTimer(double at_ms, std::uint64_t token) = 0;
--- a/src/cartspring/beliefs.h
+++ b/src/cartspring/beliefs.h
@@ -19,7 +19,7 @@
 constexpr double kInitialAimShare = 0.2;     // assumed answer time of an idle host, as share of the target
 constexpr double kGuessTolerance = 1.5;      // the first outcome counts within this factor of the guess
 constexpr double kSlownessWeight = 0.25;     // weight of a new outcome in its host's slowness
-constexpr double kMaxOutcomeRatio = 3;       // one outcome counts as at most this multiple of its level
+constexpr double kMaxOutcomeRatio = 3;       // an outcome counts as at most this multiple of the old estimate
 constexpr double kMaxSlowness = 8;           // most that a host counts as slower than its kind
 constexpr double kMeanWeight = 0.1;          // weight of a new sample in running means
 constexpr double kFailingRate = 0.6;         // share of its requests that a failing host is assumed to fail
@@ -90,7 +90,7 @@
 
  private:
   struct Learned {
-    double typical_ms;                 // of an answer
+    double typical_ms;                 // typical response time
     double per_figure;                 // ms for each unit of figure + offset, over all kinds
     std::vector<double> on_kind = {};  // the same for each machine kind, 0: not tried
   };
@@ -117,7 +117,7 @@
   // requests earn these attempts, or they would be a large part of all that is sent.
   void EarnToken() { recoveries_ = std::min(kMaxRecoveries, recoveries_ + kRecoveryShare); }
 
-  // Sent: called before the attempt is counted as in flight. Heard: on any sign of life from the host.
+  // Call Sent() before the attempt is counted as in flight, Heard() whenever anything arrives from the host.
   void Sent(Host& host, double expected_ms) {
     if (host.log_odds > 0 && ctx_.LargeTier()) recoveries_ = std::max(0.0, recoveries_ - 1);
     host.expected_ms = expected_ms;
--- a/src/cartspring/host_selector.h
+++ b/src/cartspring/host_selector.h
@@ -12,12 +12,12 @@
 
 namespace cartspring {
 
-constexpr double kSkipChance = 0.1;  // r, the chance that a ranked host is passed over
-constexpr int kMaxRounds = 4;        // rounds over the ranking before its first host is taken without a skip
+constexpr double kSkipChance = 0.1;     // r, the chance that a ranked host is passed over
+constexpr int kMaxRounds = 4;           // passes over the ranking with random skips; then the first is taken
 constexpr double kMaxTimeShare = 0.8;   // of the time left, that an admitted request may be expected to take
 constexpr double kNextAimShare = 0.65;  // most of the shortest target that the next request would take
 constexpr double kRetryDelayTimes = 0.5;     // typical answer times after which a refused client may retry
-constexpr double kMaxHintRatio = 8;          // a hint counts within this factor of its class's mean
+constexpr double kMaxHintRatio = 8;          // a hint counts as 1/this to this times its class's mean
 constexpr double kUnsafeFactor = 4;          // on the price of a connection for what must not run twice
 constexpr double kSlowWorkMultiple = 3.5;    // an answer is late after this multiple of its hinted work
 constexpr double kSlowAimShare = 0.2;        // the same without hints, as a share of the target latency
@@ -57,7 +57,7 @@
                             : host.load >= 0              ? host.usual
                                                           : unreported * warmth - (1 - warmth);
       const double figure = (others + host.CurrentOwn() + 1) / (hosts_.Size(host) * warmth);  // with this one
-      // The share of a cold host goes there first: it warms up by being used, and looks slow until then.
+      // A cold host comes first for its share: only requests warm it up, and until then its answers are slow.
       const double key =
           warmth < 1 ? 0 : estimates_.DueToFigure(live.request.klass, host, figure) + Distance(host, live);
       ranking_.Add({key, ctx_.random.Unit(), i, figure});
@@ -72,7 +72,7 @@
   }
 
  private:
-  // Crossing zones costs time and a price, a new connection a price; prices are shares of the target.
+  // Another zone adds its extra delay and a penalty, a new connection a penalty, as shares of the target.
   double Distance(const Host& host, const Live& live) const {
     const Settings& set = ctx_.set;
     const RequestClass& klass = ctx_.ClassOf(live.request);
@@ -88,7 +88,7 @@
     if (warmth >= 1) return true;
     const double fair = hosts_.Size(hosts_[i]) / static_cast<double>(hosts_.live().size());
     const double keep = warmth * (ctx_.set.fall_multiple / 2) * fair / live.sample_chance;
-    // First tries only: while much is refused, clients' retries would multiply what all instances send to it.
+    // First tries only: with many refusals, retries would multiply the load that all instances send to it.
     if (live.first && ctx_.random.Unit() < keep) return true;
     live.excluded.push_back(i);
     return false;
@@ -133,16 +133,16 @@
     return std::clamp(hint / mean, 1 / kMaxHintRatio, kMaxHintRatio);
   }
 
-  // The time after which an answer is late, whatever was learned: a multiple of the hinted work, raised for
-  // requests below their class's mean; without hints a share of the target latency.
+  // An answer is late after this, whatever was learned: a multiple of the hinted work or, if more, of its
+  // class's mean (kMaxHintRatio times the hint at most); without hints a share of the target latency.
   double SlowAfter(const Live& live) const {
     const double hint = live.request.work_hint_ms;
     return hint > 0 ? kSlowWorkMultiple * hint / std::min(1.0, live.share)
                     : kSlowAimShare * ctx_.ClassOf(live.request).aim_ms;
   }
 
-  // The retry delay for a refusal: hosts have then finished about half of what they hold, the target latency
-  // can still be met, and clients are not in step. 0: no advice.
+  // The delay advised with a refusal (0: none): long enough for hosts to finish about half of what they hold,
+  // short enough that a retry can meet the target latency, random so that clients do not retry all at once.
   double RetryDelay(int klass) {
     const double longest = ctx_.set.may_advise_retry ? ctx_.set.max_retry_after_ms : 0;
     return std::min(longest, kRetryDelayTimes * estimates_.Typical(klass) * (0.5 + ctx_.random.Unit()));
--- a/src/cartspring/hosts.h
+++ b/src/cartspring/hosts.h
@@ -1,7 +1,7 @@
 // The host table: discovery's entry for each host, and the row that holds what is known of it.
 //
-// Invariants. Rows of hosts that are gone for good are reused, since ids that come and go must not pile up; a
-// row in use never is (rows/named_rows.h). A newly started process has a clean failure record.
+// Invariants. The row of a host that is gone for good is reused, so that ids that come and go do not pile up;
+// a row in use is never reused (rows/named_rows.h). A restarted process has a clean failure record.
 #ifndef CARTSPRING_SRC_CARTSPRING_HOSTS_H_
 #define CARTSPRING_SRC_CARTSPRING_HOSTS_H_
 
--- a/src/cartspring/reports.h
+++ b/src/cartspring/reports.h
@@ -21,7 +21,7 @@
 constexpr double kMaxReportedLoad = 24;    // most requests believed of a report, for a host of mean size
 constexpr double kMaxHostRequests = 6;     // most requests that a host of mean size is given
 constexpr double kUsualLoadWeight = 0.25;  // weight of a new report in a host's usual load
-constexpr double kMinLoadShare = 0.5;      // least share of this instance, in equal shares among all
+constexpr double kMinLoadShare = 0.5;      // lower bound on this instance's share of all load / equal share
 
 class Reports {
  public:
@@ -47,7 +47,7 @@
     if (reported < 0) return;
     const double load = std::min(reported, kMaxReportedLoad * hosts_.Size(host));
     CountOwn(host, 0);
-    // A report with an answer describes some moment before it, for which only the mean is known.
+    // A report with an answer is of an unknown earlier moment: the mean of own load stands for that moment's.
     host.others = std::max(0.0, load - (Probing() ? host.CurrentOwn() : host.own_mean));
     host.usual = host.load < 0 ? host.others : host.usual + kUsualLoadWeight * (host.others - host.usual);
     host.load = load;
--- a/src/cartspring/time_shape.h
+++ b/src/cartspring/time_shape.h
@@ -12,7 +12,7 @@
 constexpr double kInitialOffset = 4;  // initial figure at which a host takes twice its unloaded time
 constexpr double kMinOffset = 0.5;    // bounds of the learned value
 constexpr double kMaxOffset = 16;
-constexpr double kShapeDecay = 0.98;  // factor on past outcomes at each new one
+constexpr double kShapeDecay = 0.98;  // each new outcome multiplies the weight of past ones by this
 constexpr double kMinFigureVariation =
     0.01;  // least squared variation of the figures that determines a slope
 
--- a/src/pace/adaptive_throttle.h
+++ b/src/pace/adaptive_throttle.h
@@ -66,7 +66,8 @@
   // admitted_share) of the answers are late. With everything admitted that is a third, so a few slow hosts
   // reduce nothing.
   static constexpr double kIncrease = 0.1, kDecreaseFactor = 0.8;
-  static constexpr double kMinAdmittedShare = 0.03;   // shed requests give no answers to measure by
+  // Some requests are always admitted: only their response times show when the overload has ended.
+  static constexpr double kMinAdmittedShare = 0.03;
   static constexpr double kGuaranteedFraction = 0.7;  // of the admitted share: what each class keeps at least
   static constexpr double kCountDecay = 0.99;         // applied to the counts of all classes at each request
 
