--- a/src/cartspring/beliefs.h
+++ b/src/cartspring/beliefs.h
@@ -161,8 +161,8 @@
     const std::ptrdiff_t all = std::ssize(hosts.live());
     const auto unhealthy = watched_.CountIf([&](int i) { return hosts[i].Live() && Unhealthy(hosts[i]); });
     const auto lost = watched_.CountIf([&](int i) { return hosts[i].Live() && Unreachable(hosts[i]); });
-    return [this, safe, blind = 2 * (all - unhealthy) < all && lost < all](const Host& host) {
-      if (blind) return !Unreachable(host);
+    return [this, safe, use_all_reachable = 2 * (all - unhealthy) < all && lost < all](const Host& host) {
+      if (use_all_reachable) return !Unreachable(host);
       // After its pause, a host gets one attempt at a time, of a request that may run again if there are any,
       // until its answers clear it.
       return !Unhealthy(host) || (recoveries_ >= 1 && host.own == 0 && !Paused(host) &&
--- a/src/cartspring/carry_over.h
+++ b/src/cartspring/carry_over.h
@@ -8,13 +8,13 @@
 
 namespace cartspring {
 
-// Row i becomes a copy of the former row `like[i]`, or `fresh(i)` where there is none.
-template <class Row, class Fresh>
-void CarryOver(std::vector<Row>& rows, const std::vector<int>& like, Fresh fresh) {
+// Row i becomes a copy of the former row `like[i]`, or `make_row(i)` where there is none.
+template <class Row, class MakeRow>
+void CarryOver(std::vector<Row>& rows, const std::vector<int>& like, MakeRow make_row) {
   std::vector<Row> out;
   for (std::size_t i = 0; i < like.size(); ++i) {
     const bool known = like[i] >= 0 && static_cast<std::size_t>(like[i]) < rows.size();
-    out.push_back(known ? rows[static_cast<std::size_t>(like[i])] : fresh(i));
+    out.push_back(known ? rows[static_cast<std::size_t>(like[i])] : make_row(i));
   }
   rows = std::move(out);
 }
--- a/src/cartspring/hosts.h
+++ b/src/cartspring/hosts.h
@@ -43,7 +43,7 @@
       HostEntry& entry = rows_[i].entry;
       if (!rows_[i].listed) entry.state = HostState::kGone;
       if (entry.state != HostState::kLive) continue;
-      live_.Add(i, rows_[i].place, {entry.zone, entry.kind, entry.cell});
+      live_.Add(i, rows_[i].sort_by, {entry.zone, entry.kind, entry.cell});
       weight += entry.weight;
     }
     live_.Build();
@@ -78,7 +78,7 @@
     host.listed = true;
     if (!host.InUse()) rows_.MarkFree(host.row);
     const double size = ctx_.set.weights_known && entry.weight > 0 ? entry.weight : 1;
-    host.place = subset_.SortKey(entry.host, size * (entry.zone == ctx_.set.own_zone ? kOwnZoneFactor : 1));
+    host.sort_by = subset_.SortKey(entry.host, size * (entry.zone == ctx_.set.own_zone ? kOwnZoneFactor : 1));
   }
 
   const Context& ctx_;
--- a/src/cartspring/policy.h
+++ b/src/cartspring/policy.h
@@ -176,16 +176,16 @@
 
   void Gather(RequestId id, Live& live) {
     const auto ready = health_.Ready(hosts_, ctx_.ClassOf(live.request).effect == Effect::kSafe);
-    const auto fits = [&](int i) {
+    const auto is_candidate = [&](int i) {
       return ready(hosts_[i]) && attempts_.MaySend(live, i) && !live.Excluded(i);
     };
-    const auto unfit = [&](int i) { return hosts_[i].Live() && !fits(i); };
+    const auto ruled_out = [&](int i) { return hosts_[i].Live() && !is_candidate(i); };
     const auto count = [&] {  // what may have run can be bound to a zone or cell
       return std::ssize(hosts_.live()) - (live.MayHaveRun()
-                                              ? std::ranges::count_if(hosts_.live(), unfit)
-                                              : health_.watched().CountIf(unfit, live.excluded));
+                                              ? std::ranges::count_if(hosts_.live(), ruled_out)
+                                              : health_.watched().CountIf(ruled_out, live.excluded));
     };
-    if (!reports_.Gather(id, live, fits, count)) return Decide(id, live);
+    if (!reports_.Gather(id, live, is_candidate, count)) return Decide(id, live);
     sink_.SetTimer(live.hold_until, Token(id, kHoldTimer));
   }
 
--- a/src/cartspring/records.h
+++ b/src/cartspring/records.h
@@ -16,7 +16,7 @@
   HostEntry entry;
   int row = 0;  // its index in the table
   bool listed = true;
-  double place = 0;       // position in this instance's own order of all hosts, by HostTable
+  double sort_by = 0;     // position in this instance's own order of all hosts, by HostTable
   int open_attempts = 0;  // by the event handlers: attempts of open requests, finished ones included
   // By Reports.
   double load = -1;  // last reported; -1: never
--- a/src/rows/ranking.h
+++ b/src/rows/ranking.h
@@ -17,7 +17,7 @@
  public:
   void Clear() {
     items_.clear();
-    sorted_ = 0;
+    sorted_count_ = 0;
   }
   // Must not be called between a call of At and the next Clear.
   void Add(const Item& item) { items_.push_back(item); }
@@ -26,15 +26,15 @@
   // The item at position `rank` (from 0, below size()) of the sorted order.
   const Item& At(std::size_t rank) {
     const auto greater = [](const Item& a, const Item& b) { return b < a; };
-    if (sorted_ == 0) std::make_heap(items_.begin(), items_.end(), greater);
-    for (; sorted_ <= rank; ++sorted_)  // moved to the back, behind the items not sorted yet
-      std::pop_heap(items_.begin(), items_.end() - static_cast<std::ptrdiff_t>(sorted_), greater);
+    if (sorted_count_ == 0) std::make_heap(items_.begin(), items_.end(), greater);
+    for (; sorted_count_ <= rank; ++sorted_count_)  // moved to the back, behind the items not sorted yet
+      std::pop_heap(items_.begin(), items_.end() - static_cast<std::ptrdiff_t>(sorted_count_), greater);
     return items_[items_.size() - 1 - rank];
   }
 
  private:
   std::vector<Item> items_;
-  std::size_t sorted_ = 0;
+  std::size_t sorted_count_ = 0;
 };
 
 }  // namespace cartspring
