--- a/src/router/attempt.h
+++ b/src/router/attempt.h
@@ -31,7 +31,7 @@
   Answer answer = Answer::kUnknown;
   http::Message head;    // without the body
   std::string body;      // of a buffered response
-  EventSplitter events;  // of a stream
+  EventSplitter events;  // splits the body of a streamed response into events; unused for other responses
   // The first event has arrived or, if the response is not a stream, all of a successful response.
   bool response_started = false;
 };
--- a/src/router/load_persistence.h
+++ b/src/router/load_persistence.h
@@ -1,14 +1,15 @@
-// Estimates how much of a received load still holds some time later, learned from the received sums; pure
-// decision logic without I/O.
+// Estimates how much of a server's received load is still present some time later, learned from successive
+// received loads; pure decision logic without I/O.
 //
-// The fleet load that routers receive is old (fleet/load/load_board.h): some ten milliseconds in a small
-// fleet, some hundred in a large one, where a prompt is prefilled within fifty. How long a server stays
-// above the mean follows from comparing each update with the one before: the correlation over the servers
-// of a service, which gives the best linear estimate of the present load,
+// The fleet load that routers receive is out of date (fleet/load/load_board.h): by some 10 ms in a small
+// fleet and by some 100 ms in a large one, where a prompt is prefilled within 50 ms. How fast a server's
+// load returns to the mean is learned by comparing each update with the one before. Their correlation over
+// the servers of a service gives the best linear estimate of the present load:
 //
 //   mean + persistence(age) x (received - mean),   persistence(age) = correlation ^ (age / update interval)
 //
-// so that a sum that carries little information has little effect, whatever the size of the fleet.
+// A received load that predicts the present load poorly therefore has little effect, whatever the size of
+// the fleet.
 //
 // Bounds: the persistence is between 0 and 1. Times in milliseconds. Not thread-safe.
 #ifndef BITTERNMUX_SRC_ROUTER_LOAD_PERSISTENCE_H_
--- a/src/router/server_choice.h
+++ b/src/router/server_choice.h
@@ -89,7 +89,9 @@
     double expected_ms = 0;      // expected time to the first event
     WorkAhead work;              // on which the expected time is based
     int ranked_servers = 0;      // number of servers that were ranked
-    bool zone_cut_off = false;   // a trial: connections from before the cut are no evidence
+    // The zone was found to be unreachable and this attempt tests whether it still is; connections opened
+    // before the outage do not show that it is reachable again.
+    bool zone_cut_off = false;
   };
   enum class NoChoiceReason { kNone, kNoServer, kAllBusy, kAllCold };
   struct Answer {
