--- a/tests/control/evacuation_calls_test.cpp
+++ b/tests/control/evacuation_calls_test.cpp
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-TEST_CASE("evacuation calls: a zone is evacuated, told, and taken back; a repeat is acknowledged") {
+TEST_CASE("evacuation calls: a zone is evacuated, told, and taken back, a repeat is acknowledged") {
   Machine machine({kSelf});
   machine.RunFor(1000);
   CHECK(Zones(machine.Call("GET", "/evacuations")).empty());
--- a/tests/ctl/status_report_test.cpp
+++ b/tests/ctl/status_report_test.cpp
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE(
-    "ctl: machines that reach each other and serve reads are connected; copies may differ for a moment") {
+    "ctl: machines that reach each other and serve reads are connected, copies may differ for a moment") {
   const auto machines =
       OwnerWith(true, {Peer("10.1.0.2:7680", true, 12, 3), Peer("10.1.0.3:7680", true, 0, 0)});
   CHECK(IsConnected(machines));
--- a/tests/ctl/tally_calls_test.cpp
+++ b/tests/ctl/tally_calls_test.cpp
@@ -12,7 +12,7 @@
   CHECK(TallyPath("a b/c?d") == "/tallies/a%20b%2Fc%3Fd");
 }
 
-TEST_CASE("ctl: the body of an add has the id and the amount; an id that is no UTF-8 is refused") {
+TEST_CASE("ctl: the body of an add has the id and the amount, an id that is no UTF-8 is refused") {
   const auto json = nlohmann::json::parse(TallyAddBody("5c0e\"7a", -4));
   CHECK(json == nlohmann::json{{"id", "5c0e\"7a"}, {"owner", -4}});
   CHECK_THROWS_AS(TallyAddBody("\xff", 1), std::invalid_argument);
--- a/tests/fleet/replication/replica_test.cpp
+++ b/tests/fleet/replication/replica_test.cpp
@@ -98,7 +98,7 @@
   CheckEnd(simulation);
 }
 
-TEST_CASE("replica: of two changes on the same version one wins; an old one is refused") {
+TEST_CASE("replica: of two changes on the same version one wins, an old one is refused") {
   Simulation simulation({12, 3, 1, 5, 0});
   simulation.RunFor(1000);
   simulation.Send(3, 0, 30);
--- a/tests/fleet/storage/sqlite_store_test.cpp
+++ b/tests/fleet/storage/sqlite_store_test.cpp
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-TEST_CASE("sqlite store: empty at first; what was saved last is there after it is opened again") {
+TEST_CASE("sqlite store: empty at first, what was saved last is there after it is opened again") {
   const Folder folder;
   {
     SqliteStore store(folder.path());
--- a/tests/fleet/storage/sqlite_tally_store_test.cpp
+++ b/tests/fleet/storage/sqlite_tally_store_test.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-TEST_CASE("tally store: empty at first; logs that were appended are there after it is opened again") {
+TEST_CASE("tally store: empty at first, logs that were appended are there after it is opened again") {
   const Folder folder;
   {
     SqliteTallyStore store(folder.path());
--- a/tests/lab/capacity/results_test.cpp
+++ b/tests/lab/capacity/results_test.cpp
@@ -75,7 +75,7 @@
         "folder/one.json: void: the run is void and gives no figures: late by 40 ms");
 }
 
-TEST_CASE("a play that is there twice is refused, in one file or in two; other figures of it are not") {
+TEST_CASE("a play that is there twice is refused, in one file or in two, other figures of it are not") {
   json twice = Good();
   twice["plays"].push_back(twice["plays"][0]);
   CHECK(FaultOf(twice) ==
--- a/tests/lab/fleet/link_relay_test.cpp
+++ b/tests/lab/fleet/link_relay_test.cpp
@@ -96,7 +96,7 @@
   CHECK(Ends::Read(machine, hello.size()) == hello);
 }
 
-TEST_CASE("link relay: a cut in one direction holds what is sent until it is healed; the other one passes") {
+TEST_CASE("link relay: a cut in one direction holds what is sent until it is healed, the other one passes") {
   Ends ends;
   tcp::socket machine = ends.backend.accept();
   Ends::Read(machine, HelloFrom("a").size());
--- a/tests/lab/virtual/day_test.cpp
+++ b/tests/lab/virtual/day_test.cpp
@@ -251,7 +251,7 @@
   CHECK(Breaches(stalled) == "");
 }
 
-TEST_CASE("sidecars that are told to stop answer what they hold; those that are killed owe it") {
+TEST_CASE("sidecars that are told to stop answer what they hold, those that are killed owe it") {
   const Run term = Play(Trouble("kind = \"restart_sidecars\"\nsignal = \"term\"\ndown_s = 0.3\n"));
   CHECK(term.Sidecars(4, 4.1, record::Sidecar::TERM) == 3);
   CHECK(term.Sidecars(4.5, 5.5, record::Sidecar::EXITED) == 3);
--- a/tests/limits/duplicate_answers_test.cpp
+++ b/tests/limits/duplicate_answers_test.cpp
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE(
-    "one alike answer makes its node rest, and those that go by the fleet; what showed its own goes on") {
+    "one alike answer makes its node rest, and those that go by the fleet, what showed its own goes on") {
   AnswersAlike alike;
   See(alike, "s-1", kProof);
   See(alike, "s-2", AnswersAlike::kOwnProof);
--- a/tests/limits/sessions_test.cpp
+++ b/tests/limits/sessions_test.cpp
@@ -190,7 +190,7 @@
   CHECK(limits.Retire(410) == once);
 }
 
-TEST_CASE("silent ones have less time as they crowd; idle ones go before those that have just come") {
+TEST_CASE("silent ones have less time as they crowd, idle ones go before those that have just come") {
   Sessions limits({80, 20, 2000});
   const auto idle = limits.Opened(0);
   limits.Taken(0, idle, Sessions::Ask::kProbe);
--- a/tests/router/first_event_model_test.cpp
+++ b/tests/router/first_event_model_test.cpp
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("first event model: follows a change of speed; a single hang has little influence") {
+TEST_CASE("first event model: follows a change of speed, a single hang has little influence") {
   std::mt19937 random(6);
   FirstEventModel model;
   const WorkAhead probe = {3000, 5};
@@ -72,7 +72,7 @@
   CHECK(model.MsPerRequest() >= 0);
 }
 
-TEST_CASE("pace factor: a slow server is detected by its answers; without answers the factor decays to 1") {
+TEST_CASE("pace factor: a slow server is detected by its answers, without answers the factor decays to 1") {
   PaceFactor pace;
   CHECK(pace.At(0) == 1);
   pace.Learn(0, 100, 700);  // one outlier is not enough
--- a/tests/router/load_persistence_test.cpp
+++ b/tests/router/load_persistence_test.cpp
@@ -49,7 +49,7 @@
   CHECK(LearnPersistence(50, 1, 3).After(5000) == Approx(1).margin(0.01));
 }
 
-TEST_CASE("load persistence: decays before anything was learned; ignores updates far apart") {
+TEST_CASE("load persistence: decays before anything was learned, ignores updates far apart") {
   LoadPersistence persistence;
   const double before = persistence.After(300);
   CHECK(before > 0.2);
--- a/tests/router/prompt_test.cpp
+++ b/tests/router/prompt_test.cpp
@@ -6,7 +6,7 @@
 
 namespace bitternmux::router {
 
-TEST_CASE("prompt: parses counts and parts; a part identifies all parts before it") {
+TEST_CASE("prompt: parses counts and parts, a part identifies all parts before it") {
   const auto count = ParseTokenCount("1460, 80");
   REQUIRE(count);
   CHECK(count->tokens_in == 1460);
--- a/tests/router/server_choice_test.cpp
+++ b/tests/router/server_choice_test.cpp
@@ -130,7 +130,7 @@
   CHECK(CountChoices(full, 1, 100, TestQuery()).at("i0") == 100);
 }
 
-TEST_CASE("server choice: counts this router's own requests; a failure leaves the load figure unchanged") {
+TEST_CASE("server choice: counts this router's own requests, a failure leaves the load figure unchanged") {
   ServerChoice choice({0, 4}, "z", 4);
   choice.Update(0, Servers(2));
   choice.OnLoadReport(1, "i0", {5, 0, 64});
@@ -306,7 +306,7 @@
   CHECK(choice.Choose(2, query).chosen->id != home);
 }
 
-TEST_CASE("server choice: a server without a report counts as the mean; old reports decay to the mean") {
+TEST_CASE("server choice: a server without a report counts as the mean, old reports decay to the mean") {
   ServerChoice choice({0, 4}, "z", 7);
   choice.Update(0, Servers(3));
   choice.OnLoadReport(1, "i0", {2, 0, 64});
--- a/tests/router/upstream_test.cpp
+++ b/tests/router/upstream_test.cpp
@@ -371,7 +371,7 @@
   fixture.Cancel();
 }
 
-TEST_CASE("upstream: a half close after the response closes the connection; before it, the attempt breaks") {
+TEST_CASE("upstream: a half close after the response closes the connection, before it, the attempt breaks") {
   const bool before = GENERATE(true, false);
   UpstreamFixture fixture;
   fixture.Serve([=](UpstreamFixture& s) {
--- a/tests/router/zone_reach_test.cpp
+++ b/tests/router/zone_reach_test.cpp
@@ -4,7 +4,7 @@
 
 namespace bitternmux::router {
 
-TEST_CASE("zone reach: one unresponsive server may be down; two in a zone without responses mean a cut") {
+TEST_CASE("zone reach: one unresponsive server may be down, two in a zone without responses mean a cut") {
   ZoneReach reach;
   reach.OnNoResponse(700, "far", "i1", 0);
   reach.OnNoResponse(1500, "far", "i1", 800);
--- a/tests/startup/start_history_test.cpp
+++ b/tests/startup/start_history_test.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("failed starts in a row are delayed from the fourth on; the delay doubles up to a limit") {
+TEST_CASE("failed starts in a row are delayed from the fourth on, the delay doubles up to a limit") {
   StartHistory starts;
   std::vector<std::int64_t> delays;
   for (int i = 0; i < 20; ++i) delays.push_back((starts = ReadBack(starts)).Begin(kNow + i * 1000));
